--- a/crates/bilberry-core/src/breaker.rs
+++ b/crates/bilberry-core/src/breaker.rs
@@ -2,27 +2,27 @@
 
 use crate::UnixMs;
 
-/// How many failures in a row open the breaker.
-const FAILURES_TO_OPEN: u32 = 3;
+/// The number of consecutive failures that opens the breaker.
+const FAILURE_THRESHOLD: u32 = 3;
 
-/// How long the trial of a half-open breaker keeps others waiting.
-const TRIAL_MS: u64 = 2_000;
+/// How long other calls are refused after a half-open breaker admits a trial call.
+const TRIAL_TIMEOUT_MS: u64 = 2_000;
 
 /// Whether a call may be made.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum BreakerState {
-    /// Calls pass.
+    /// Calls are admitted.
     Closed,
-    /// Calls are refused until the stored time.
+    /// Calls are refused until the retry time.
     Open,
-    /// One call may pass to see whether the other side is back.
+    /// One trial call is admitted to test whether the remote side has recovered.
     HalfOpen,
 }
 
-/// Counts failures and refuses calls while the other side is down.
+/// Counts consecutive failures and refuses calls while the remote side is down.
 #[derive(Debug, Clone, Default)]
 pub struct Breaker {
-    failures: u32,
+    consecutive_failures: u32,
     open_until: UnixMs,
 }
 
@@ -34,36 +34,36 @@
 
     /// Returns the state at `now`.
     pub fn state(&self, now: UnixMs) -> BreakerState {
-        match self.failures {
-            n if n < FAILURES_TO_OPEN => BreakerState::Closed,
+        match self.consecutive_failures {
+            n if n < FAILURE_THRESHOLD => BreakerState::Closed,
             _ if !self.open_until.has_passed_at(now) => BreakerState::Open,
             _ => BreakerState::HalfOpen,
         }
     }
 
-    /// Asks to make a call; in the half-open state only one call passes.
+    /// Reports whether a call may be made; a half-open breaker admits only one.
     pub fn admit(&mut self, now: UnixMs) -> bool {
         match self.state(now) {
             BreakerState::Closed => true,
             BreakerState::Open => false,
             BreakerState::HalfOpen => {
-                // A trial that is given up on tells nobody how it went. A stored
-                // time lets the next caller try, where a flag would stay set and
-                // keep the breaker open for ever.
-                self.open_until = now.plus_ms(TRIAL_MS);
+                // An abandoned trial call never reports its result. A deadline
+                // admits another trial later, whereas a flag would stay set and
+                // keep the breaker open forever.
+                self.open_until = now.plus_ms(TRIAL_TIMEOUT_MS);
                 true
             }
         }
     }
 
-    /// Notes an answer.
+    /// Records a successful call and closes the breaker.
     pub fn succeed(&mut self) {
         *self = Self::default();
     }
 
-    /// Notes a failure; the breaker stays open until `retry_at`.
+    /// Records a failed call; an open breaker refuses calls until `retry_at`.
     pub fn fail(&mut self, retry_at: UnixMs) {
-        self.failures = self.failures.saturating_add(1);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.open_until = retry_at;
     }
 }
--- a/crates/bilberry-core/src/entry_count.rs
+++ b/crates/bilberry-core/src/entry_count.rs
@@ -1,54 +1,59 @@
-//! How many entries share what is divided among them.
+//! The number of entries among which shared limits are divided.
 //!
-//! The load pattern: sidecars, which count the entries, end and start together while
-//! requests fail over. A sidecar that has just started has heard of one entry, and
-//! entries that believed it would overdraw together what they share.
+//! Sidecars count the entries, and may all restart at once while requests fail over.
+//! A sidecar that has just started knows only one entry. If entries trusted that
+//! count, together they would exceed the limits that they share.
 
 use crate::UnixMs;
 
-/// For how long fewer entries have to be told before they count.
+/// How long a lower count must be reported before it is adopted.
 ///
-/// Entries come back to a sidecar within a second of its start.
-const SETTLE_MS: u64 = 3_000;
+/// Entries reconnect to a sidecar within a second of its start.
+const DECREASE_CONFIRM_MS: u64 = 3_000;
 
-/// The longest pause between two words that belong together; a sidecar repeats its
-/// word three times as often.
-const PAUSE_MS: u64 = 1_500;
+/// The longest gap between two reports of one series.
+///
+/// A sidecar repeats its report three times as often.
+const MAX_REPORT_GAP_MS: u64 = 1_500;
 
-/// The number of entries, as sidecars told it last.
+/// The number of entries, as last reported by sidecars.
 ///
-/// Kept while nobody tells. An entry that starts meanwhile knows no number and takes
-/// a small share, so the sum stays within what is shared.
+/// The count is kept while no sidecar reports. An entry that starts meanwhile has no
+/// count and takes a small share, so the sum of all shares stays within the limit.
 #[derive(Debug, Default)]
 pub struct EntryCount {
-    last: Option<usize>,
-    heard_at: UnixMs,
-    fewer_since: Option<UnixMs>,
+    current: Option<usize>,
+    reported_at: UnixMs,
+    lower_since: Option<UnixMs>,
 }
 
 impl EntryCount {
-    /// Returns the number that counts; `None` if none was ever told.
+    /// Returns the current count; `None` if none was ever reported.
     pub fn get(&self) -> Option<usize> {
-        self.last
+        self.current
     }
 
-    /// Takes over the number that one sidecar tells.
+    /// Processes the count that one sidecar reports.
     ///
-    /// The highest counts, as a sidecar may not reach all entries.
-    pub fn hear(&mut self, now: UnixMs, told: usize) {
-        let is_fewer = self.last.is_some_and(|last| told < last);
-        let paused = now.ms_since(self.heard_at) >= PAUSE_MS;
-        self.heard_at = now;
-        match self.fewer_since {
-            _ if !is_fewer => self.take(told),
-            Some(since) if !paused && now.ms_since(since) >= SETTLE_MS => self.take(told),
-            Some(_) if !paused => {}
-            _ => self.fewer_since = Some(now),
+    /// The highest count wins, because a sidecar may not reach all entries.
+    pub fn hear(&mut self, now: UnixMs, reported: usize) {
+        let is_lower = self.current.is_some_and(|current| reported < current);
+        let gap_exceeded = now.ms_since(self.reported_at) >= MAX_REPORT_GAP_MS;
+        self.reported_at = now;
+        match self.lower_since {
+            _ if !is_lower => self.set(reported),
+            Some(since)
+                if !gap_exceeded && now.ms_since(since) >= DECREASE_CONFIRM_MS =>
+            {
+                self.set(reported)
+            }
+            Some(_) if !gap_exceeded => {}
+            _ => self.lower_since = Some(now),
         }
     }
 
-    fn take(&mut self, told: usize) {
-        self.last = Some(told);
-        self.fewer_since = None;
+    fn set(&mut self, reported: usize) {
+        self.current = Some(reported);
+        self.lower_since = None;
     }
 }
--- a/crates/bilberry-core/src/entry_share.rs
+++ b/crates/bilberry-core/src/entry_share.rs
@@ -1,12 +1,12 @@
-//! One entry's part of what all entries share.
+//! One entry's share of a limit for all entries.
 
-/// How many entries are assumed until the number is known.
+/// The number of entries assumed until the count is known.
 ///
-/// Too many makes a starting entry thrifty for a second, too few would let a
-/// herd of restarted entries overdraw together.
-const UNKNOWN_ENTRIES: usize = 16;
+/// Too high a value restricts a starting entry for about a second; too low a value
+/// would let many entries that restart together exceed the limit.
+const ASSUMED_ENTRIES: usize = 16;
 
 /// Divides `total` evenly by the number of entries.
 pub(crate) fn entry_share(total: f64, entries: Option<usize>) -> f64 {
-    total / entries.unwrap_or(UNKNOWN_ENTRIES).max(1) as f64
+    total / entries.unwrap_or(ASSUMED_ENTRIES).max(1) as f64
 }
--- a/crates/bilberry-core/src/event_split.rs
+++ b/crates/bilberry-core/src/event_split.rs
@@ -1,15 +1,15 @@
-//! Splitting a byte stream into whole events.
+//! Splits a byte stream into complete server-sent events.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// The largest event that is held back until it is whole.
+/// The largest incomplete event that is buffered.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// Splits a server's event stream at the blank lines between events.
 ///
-/// A server that is lost stops in the middle of an event. Were the half event
-/// passed on, another server's events could not follow it.
+/// A server that fails may stop in the middle of an event. If the partial event were
+/// forwarded, the events of a replacement server could not follow it.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
@@ -22,7 +22,7 @@
         Self::default()
     }
 
-    /// Takes bytes in and returns the whole events that they complete.
+    /// Appends bytes and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.buffer.extend_from_slice(bytes);
         let end = match end_of_events(&self.buffer) {
@@ -37,30 +37,30 @@
         Some(events)
     }
 
-    /// Reports whether all bytes so far belong to whole events.
+    /// Reports whether all bytes so far belong to complete events.
     pub fn is_at_boundary(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Drops a half event, before another server goes on.
+    /// Discards a partial event before another server continues the stream.
     pub fn drop_partial(&mut self) {
         self.buffer.clear();
     }
 
-    /// Returns the id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 }
 
-/// Returns the position behind the last blank line.
+/// Returns the position after the last blank line.
 fn end_of_events(bytes: &[u8]) -> Option<usize> {
-    let blank = |at: usize| match bytes[at] {
+    let ends_blank_line = |at: usize| match bytes[at] {
         b'\n' if bytes[..at].ends_with(b"\n") => true,
         b'\n' => bytes[..at].ends_with(b"\n\r"),
         _ => false,
     };
-    (1..bytes.len()).rev().find(|&at| blank(at)).map(|at| at + 1)
+    (1..bytes.len()).rev().find(|&at| ends_blank_line(at)).map(|at| at + 1)
 }
 
 fn last_id(events: &[u8]) -> Option<u64> {
--- a/crates/bilberry-core/src/index.rs
+++ b/crates/bilberry-core/src/index.rs
@@ -1,4 +1,4 @@
-//! The sidecar's picture of what its engine has cached.
+//! The sidecar's index of the blocks that its engine has cached.
 
 use std::collections::HashSet;
 
@@ -17,9 +17,9 @@
 /// One cache event as an engine publishes it.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// The engine's own count of events since its start.
+    /// The engine's event counter, reset when the engine starts.
     pub sequence: u64,
-    /// The random number that the engine chose at its start.
+    /// The random identifier that the engine chose at its start.
     pub incarnation: u64,
     /// What happened.
     pub kind: EventKind,
@@ -27,10 +27,10 @@
     pub block: Fingerprint,
 }
 
-/// Whether the picture can be trusted.
+/// Whether the index is complete.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum IndexState {
-    /// Every event since the start or the last snapshot was seen.
+    /// Every event since the start or the last snapshot was applied.
     Synced,
     /// Events were lost; a snapshot must be fetched.
     Unsure,
@@ -46,7 +46,7 @@
 }
 
 impl CacheIndex {
-    /// Creates an index that knows nothing.
+    /// Creates an empty index that needs a snapshot.
     pub fn new() -> Self {
         Self {
             incarnation: 0,
@@ -62,7 +62,7 @@
             self.enter(event.incarnation);
         }
         match event.sequence {
-            // An event before the snapshot is already part of it.
+            // The snapshot already includes events that precede it.
             n if n < self.next_sequence => return self.state,
             n if n > self.next_sequence => self.state = IndexState::Unsure,
             _ => {}
@@ -75,7 +75,7 @@
         self.state
     }
 
-    /// Replaces the picture by a snapshot taken before event `next_sequence`.
+    /// Replaces the index with a snapshot taken before event `next_sequence`.
     pub fn replace(
         &mut self,
         incarnation: u64,
@@ -88,10 +88,10 @@
         self.blocks = blocks.into_iter().collect();
     }
 
-    /// Forgets everything on a change of the engine's incarnation.
+    /// Clears the index for a new incarnation of the engine.
     ///
-    /// A crashed engine comes back empty. If its old blocks stayed, requests
-    /// would be drawn to it and each would pay for its whole prompt again.
+    /// A crashed engine restarts with an empty cache. If its old blocks stayed
+    /// listed, requests would be routed to it and recompute their whole prompts.
     pub fn enter(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
         self.next_sequence = 0;
@@ -99,36 +99,36 @@
         self.blocks.clear();
     }
 
-    /// Returns the incarnation that the picture belongs to.
+    /// Returns the engine incarnation that the index describes.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Returns whether the picture can be trusted.
+    /// Returns whether the index is complete.
     pub fn state(&self) -> IndexState {
         self.state
     }
 
-    /// Marks the picture as one that misses events.
+    /// Marks the index as incomplete because events were lost.
     pub fn doubt(&mut self) {
         self.state = IndexState::Unsure;
     }
 
-    /// Returns how many blocks are held.
+    /// Returns the number of cached blocks.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Reports whether no block is held.
+    /// Reports whether no block is cached.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// Returns the depth, in blocks, to which a chain of `len` blocks is held.
+    /// Returns the depth, in blocks, to which a chain of `len` blocks is cached.
     ///
-    /// `sample` holds the fingerprints at the depths of [`sample_depths`]. An
-    /// engine evicts leaves before their parents, so the deepest held sample
-    /// vouches for the blocks above it.
+    /// `sample` contains the fingerprints at the depths of [`sample_depths`]. An
+    /// engine evicts leaves before their parents, so a cached sample implies that
+    /// all blocks above it are cached as well.
     pub fn depth(&self, len: usize, sample: &[Fingerprint]) -> usize {
         sample_depths(len)
             .into_iter()
--- a/crates/bilberry-core/src/lib.rs
+++ b/crates/bilberry-core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of the router, free of I/O: names, prompt chains, routing,
+//! The router's decision logic, free of I/O: names, prompt hash chains, routing,
 //! admission, retries, claims and stream order.
 //!
-//! Nothing here reads a clock or a socket. Time comes in as a [`UnixMs`], random
-//! choices as a seed, so each decision can be tested and replayed exactly.
+//! Decision code reads no clock and no socket. The time is passed in as a
+//! [`UnixMs`] and randomness as a seed, so every decision is reproducible in tests.
 
 mod breaker;
 mod chain;
@@ -150,5 +150,5 @@
 pub use watch_hub::HubCandidate;
 pub use watch_hub::choose_hub;
 
-/// A shared immutable name of a customer, upstream, model, place or process.
+/// A cheaply cloned, immutable name of a customer, upstream, model, location or process.
 pub type Name = ecow::EcoString;
