--- a/crates/bilberry-core/src/limits.rs
+++ b/crates/bilberry-core/src/limits.rs
@@ -1,40 +1,40 @@
-//! Limits on the rate and the concurrency of each customer.
+//! Rate and concurrency limits per customer.
 
 use std::collections::HashMap;
 
 use crate::Name;
 use crate::UnixMs;
 
-/// How many customers may be followed before idle ones are cleared away.
-const CLEAR_ABOVE: usize = 1_024;
+/// The number of tracked customers above which idle ones are removed.
+const IDLE_CLEANUP_THRESHOLD: usize = 1_024;
 
-/// Why a customer's request is not taken now.
+/// The limit that a customer's request exceeds.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum Overrun {
-    /// The rate is used up until the given time has gone by.
+    /// The rate limit is exhausted.
     Rate {
-        /// The time in milliseconds.
+        /// The time until a request can be admitted, in milliseconds.
         wait_ms: u64,
     },
     /// Too many requests are in progress.
     Concurrency,
 }
 
-/// The share of a customer's limits that this entry may give out.
+/// An entry's share of a customer's limits.
 #[derive(Debug, Copy, Clone, PartialEq)]
 pub struct Allowance {
-    /// Requests a second.
+    /// Requests per second.
     pub rate_per_s: f64,
     /// Requests in progress.
     pub concurrency: u32,
 }
 
 impl Allowance {
-    /// Divides a customer's limits among `entries`.
+    /// Divides a customer's limits evenly among `entries`.
     ///
-    /// The balancer spreads requests evenly, so the shares add up to the limit
-    /// with an error of at most one request an entry. An exact count over all
-    /// entries would cost a call between processes for each request.
+    /// The load balancer spreads requests evenly, so the shares add up to the limit
+    /// with an error of at most one request per entry. An exact count over all
+    /// entries would require a call between processes for each request.
     pub fn share(rate_per_s: f64, concurrency: u32, entries: usize) -> Self {
         let entries = entries.max(1);
         Self {
@@ -43,65 +43,67 @@
         }
     }
 
-    /// Returns how many requests may come at once.
+    /// Returns the capacity of the token bucket, in requests.
     fn burst(self) -> f64 {
         self.rate_per_s.max(1.0)
     }
 }
 
-/// What one customer has used.
+/// The token bucket and the requests in progress of one customer.
 #[derive(Debug)]
-struct Used {
+struct Usage {
     tokens: f64,
-    at: UnixMs,
-    running: u32,
+    refilled_at: UnixMs,
+    in_progress: u32,
 }
 
-/// The limits of all customers at one entry.
+/// The usage of all customers at one entry, checked against their limits.
 #[derive(Debug, Default)]
 pub struct CustomerLimits {
-    used: HashMap<Name, Used>,
+    usage: HashMap<Name, Usage>,
 }
 
 impl CustomerLimits {
-    /// Takes a request in; [`CustomerLimits::leave`] must follow its end.
+    /// Admits a request; [`CustomerLimits::leave`] must be called when it ends.
     pub fn enter(
         &mut self,
         customer: &Name,
         allowance: Allowance,
         now: UnixMs,
     ) -> Result<(), Overrun> {
-        if self.used.len() > CLEAR_ABOVE {
-            self.clear_idle(now);
+        if self.usage.len() > IDLE_CLEANUP_THRESHOLD {
+            self.remove_idle(now);
         }
-        let first = Used { tokens: allowance.burst(), at: now, running: 0 };
-        let used = self.used.entry(customer.clone()).or_insert(first);
-        let earned = now.ms_since(used.at) as f64 * allowance.rate_per_s / 1_000.0;
-        used.tokens = (used.tokens + earned).min(allowance.burst());
-        used.at = used.at.max(now);
-        if used.running >= allowance.concurrency {
+        let full = Usage { tokens: allowance.burst(), refilled_at: now, in_progress: 0 };
+        let usage = self.usage.entry(customer.clone()).or_insert(full);
+        let refill =
+            now.ms_since(usage.refilled_at) as f64 * allowance.rate_per_s / 1_000.0;
+        usage.tokens = (usage.tokens + refill).min(allowance.burst());
+        usage.refilled_at = usage.refilled_at.max(now);
+        if usage.in_progress >= allowance.concurrency {
             return Err(Overrun::Concurrency);
         }
-        if used.tokens < 1.0 {
-            let wait_ms = (1.0 - used.tokens) / allowance.rate_per_s * 1_000.0;
+        if usage.tokens < 1.0 {
+            let wait_ms = (1.0 - usage.tokens) / allowance.rate_per_s * 1_000.0;
             return Err(Overrun::Rate { wait_ms: wait_ms.ceil() as u64 });
         }
-        used.tokens -= 1.0;
-        used.running += 1;
+        usage.tokens -= 1.0;
+        usage.in_progress += 1;
         Ok(())
     }
 
-    /// Notes the end of a request.
+    /// Records the end of an admitted request.
     pub fn leave(&mut self, customer: &Name) {
-        if let Some(used) = self.used.get_mut(customer) {
-            used.running = used.running.saturating_sub(1);
+        if let Some(usage) = self.usage.get_mut(customer) {
+            usage.in_progress = usage.in_progress.saturating_sub(1);
         }
     }
 
-    /// Forgets customers with nothing in progress whose bucket is full by now.
-    fn clear_idle(&mut self, now: UnixMs) {
-        const REFILLED_MS: u64 = 60_000;
-        self.used
-            .retain(|_, used| used.running > 0 || now.ms_since(used.at) < REFILLED_MS);
+    /// Removes customers without requests in progress whose bucket has refilled.
+    fn remove_idle(&mut self, now: UnixMs) {
+        const REFILL_MS: u64 = 60_000;
+        self.usage.retain(|_, usage| {
+            usage.in_progress > 0 || now.ms_since(usage.refilled_at) < REFILL_MS
+        });
     }
 }
--- a/crates/bilberry-core/src/named_weights.rs
+++ b/crates/bilberry-core/src/named_weights.rs
@@ -1,61 +1,62 @@
-//! Which weights of a model were named, and when.
+//! The announced weights versions of a model and their announcement times.
 //!
-//! The load pattern: new weights are named every few seconds, faster than a service
-//! takes them. A server may then be several versions behind, and what counts is for
-//! how long it has been behind at all.
+//! New weights may be announced every few seconds, faster than a service loads them. A
+//! server can then be several versions behind; its staleness is measured from the first
+//! announcement that it missed.
 
 use crate::UnixMs;
 
-/// How many versions are remembered.
+/// The maximum number of versions kept.
 ///
-/// Thirty-two namings a second apart reach back further than any bound on older
-/// weights in use. Where they come faster, the oldest two count as one that was named
-/// when the first of them was, so older weights are barred too early, never too late.
-const MOST_VERSIONS: usize = 32;
+/// With one announcement per second, 32 versions reach back further than any bound on
+/// older weights in use. At higher rates, the two oldest are merged under the earlier
+/// announcement time, so older weights are excluded too early rather than too late.
+const MAX_VERSIONS: usize = 32;
 
-/// The versions of a model's weights that are known to exist, oldest first.
+/// The known weights versions of a model, oldest first.
 ///
-/// Neither versions nor times fall along the list.
+/// Versions increase along the list and announcement times never decrease.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct NamedWeights {
-    named: Vec<(u64, UnixMs)>,
+    versions: Vec<(u64, UnixMs)>,
 }
 
 impl NamedWeights {
-    /// Notes a version that may have been named from `since` on; returns whether it
-    /// is new.
+    /// Records a version that may have been announced as early as `since`; returns
+    /// whether it is new.
     ///
-    /// The first word counts: what is heard again later, or read anew, tells nothing
-    /// more of when it was. Versions only grow, so it was named before any newer one
-    /// and after any older one.
+    /// Only the first report of a version sets its time, because later reports say
+    /// nothing about when it was announced. Versions only increase, so a version was
+    /// announced before any newer one and after any older one.
     pub fn note(&mut self, version: u64, since: UnixMs) -> bool {
-        let place = self.named.partition_point(|&(known, _)| known < version);
-        let is_known = self.named.get(place).is_some_and(|&(known, _)| known == version);
-        let is_forgotten = place == 0 && self.named.len() == MOST_VERSIONS;
-        if is_known || is_forgotten {
+        let index = self.versions.partition_point(|&(known, _)| known < version);
+        let is_known =
+            self.versions.get(index).is_some_and(|&(known, _)| known == version);
+        let is_evicted = index == 0 && self.versions.len() == MAX_VERSIONS;
+        if is_known || is_evicted {
             return false;
         }
-        let newer_at = self.named.get(place).map_or(since, |&(_, at)| at);
+        let newer_at = self.versions.get(index).map_or(since, |&(_, at)| at);
         let since = since.min(newer_at);
-        for (_, known_at) in &mut self.named[..place] {
+        for (_, known_at) in &mut self.versions[..index] {
             *known_at = (*known_at).min(since);
         }
-        self.named.insert(place, (version, since));
-        if self.named.len() > MOST_VERSIONS {
-            let (_, oldest_at) = self.named.remove(0);
-            self.named[0].1 = oldest_at;
+        self.versions.insert(index, (version, since));
+        if self.versions.len() > MAX_VERSIONS {
+            let (_, oldest_at) = self.versions.remove(0);
+            self.versions[0].1 = oldest_at;
         }
         true
     }
 
-    /// Returns the newest version, and since when it is known.
+    /// Returns the newest version and its announcement time.
     pub fn newest(&self) -> Option<(u64, UnixMs)> {
-        self.named.last().copied()
+        self.versions.last().copied()
     }
 
-    /// Returns since when a server with this version lacks newer weights.
+    /// Returns the time since which a server with this version lacks newer weights.
     pub fn lacking_since(&self, version: u64) -> Option<UnixMs> {
-        let newer = self.named.partition_point(|&(known, _)| known <= version);
-        self.named.get(newer).map(|&(_, at)| at)
+        let newer = self.versions.partition_point(|&(known, _)| known <= version);
+        self.versions.get(newer).map(|&(_, at)| at)
     }
 }
--- a/crates/bilberry-core/src/outcome.rs
+++ b/crates/bilberry-core/src/outcome.rs
@@ -1,24 +1,24 @@
-//! What a refusal may say about the run of a request.
+//! Whether a refused request may have run.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Whether a request ran at its upstream.
+/// Whether an upstream executed a request.
 #[derive(Debug, Copy, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// No upstream was given the request.
+    /// The request was not sent to any upstream.
     NotRun,
-    /// An upstream may have been given the request.
+    /// The request may have reached an upstream.
     MayHaveRun,
-    /// An upstream ran the request.
+    /// An upstream executed the request.
     Ran,
 }
 
 impl RunState {
-    /// Returns the word that answers carry.
+    /// Returns the name used in responses.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
--- a/crates/bilberry-core/src/queue.rs
+++ b/crates/bilberry-core/src/queue.rs
@@ -1,4 +1,4 @@
-//! Weighted fair queueing between customers, in front of one upstream.
+//! Weighted fair queueing of customers' requests to one upstream.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -6,10 +6,10 @@
 
 use crate::Name;
 
-/// How far the virtual clock moves for one unit of cost at weight one.
-const VIRTUAL_PER_COST: u64 = 1 << 10;
+/// The advance of virtual time per unit of cost at weight one.
+const VIRTUAL_TIME_PER_COST: u64 = 1 << 10;
 
-/// The place of an item in the queue: priority, virtual start, arrival.
+/// The position of an item in the queue: priority, virtual start, arrival.
 #[derive(Debug, Copy, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueueKey {
     rank: Reverse<u8>,
@@ -17,18 +17,18 @@
     arrival: u64,
 }
 
-/// What became of a pushed item.
+/// The result of [`FairQueue::push`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum Pushed<T> {
-    /// The item waits under this key.
+    /// The item was queued under this key.
     Queued(QueueKey),
-    /// The item waits, and another customer's latest item gave way to it.
+    /// The item was queued and displaced another customer's latest item.
     Displaced(QueueKey, T),
-    /// The queue is full and the customer has its share of it already.
+    /// The queue is full and the customer already holds its share of it.
     Refused(T),
 }
 
-/// One waiting item.
+/// A queued item.
 #[derive(Debug)]
 struct Waiting<T> {
     customer: Name,
@@ -36,7 +36,7 @@
     item: T,
 }
 
-/// The state of one customer that has items in the queue or had them lately.
+/// The state of a customer that has, or recently had, items in the queue.
 #[derive(Debug, Default)]
 struct Account {
     virtual_finish: u64,
@@ -46,10 +46,10 @@
 
 /// A bounded queue that serves customers in proportion to their weights.
 ///
-/// Start-time fair queueing: an item's tag is the later of the virtual clock and
-/// its customer's last finish, and the smallest tag goes first. A customer that
-/// was idle gets no credit for it, and one that sends ten times its share only
-/// lengthens its own line.
+/// Implements start-time fair queueing: an item's start tag is the later of the
+/// virtual time and its customer's last finish tag, and the smallest start tag is
+/// served first. Idle customers accrue no credit, and a customer that sends ten times
+/// its share only lengthens its own backlog.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     limit: usize,
@@ -73,27 +73,27 @@
         }
     }
 
-    /// Changes the bound; items that wait already stay.
+    /// Changes the limit; items already queued stay.
     pub fn set_limit(&mut self, limit: usize) {
         self.limit = limit;
     }
 
-    /// Returns how many items wait.
+    /// Returns the number of queued items.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Reports whether no item waits.
+    /// Reports whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Returns the summed cost of the waiting items.
+    /// Returns the total cost of the queued items.
     pub fn cost(&self) -> u64 {
         self.cost
     }
 
-    /// Returns the cost that would be served before an item of this customer.
+    /// Returns the total cost of the items served before a new item of this customer.
     pub fn cost_ahead(&self, customer: &Name, priority: u8) -> u64 {
         let tag = self.virtual_start(customer);
         let rank = Reverse(priority);
@@ -127,14 +127,14 @@
         }
     }
 
-    /// Takes the next item to serve.
+    /// Removes and returns the next item to serve.
     pub fn pop(&mut self) -> Option<T> {
         let (&key, _) = self.waiting.first_key_value()?;
         self.virtual_now = self.virtual_now.max(key.virtual_start);
         self.remove(key)
     }
 
-    /// Takes a given item out, for a caller that went away.
+    /// Removes an item, such as one whose caller disconnected.
     pub fn remove(&mut self, key: QueueKey) -> Option<T> {
         let waiting = self.waiting.remove(&key)?;
         self.cost -= waiting.cost;
@@ -144,10 +144,11 @@
         Some(waiting.item)
     }
 
-    /// Forgets customers that have been served and have nothing waiting.
+    /// Removes the accounts of customers that have been served and have nothing queued.
     ///
-    /// With 48,000 customers an account kept for each would outgrow the
-    /// sidecar. An account behind the virtual clock carries no information.
+    /// With 48,000 customers, keeping every account would exceed the sidecar's
+    /// memory. An account whose finish tag is not after the virtual time can be
+    /// recreated without loss.
     pub fn forget_idle(&mut self) {
         let now = self.virtual_now;
         self.accounts.retain(|_, account| {
@@ -155,7 +156,7 @@
         });
     }
 
-    /// Returns how many customers have an account.
+    /// Returns the number of customer accounts.
     pub fn account_count(&self) -> usize {
         self.accounts.len()
     }
@@ -179,7 +180,8 @@
         let key = QueueKey { rank: Reverse(priority), virtual_start, arrival };
         let account = self.accounts.entry(customer.clone()).or_default();
         account.weight = weight.max(1);
-        account.virtual_finish = virtual_start + cost * VIRTUAL_PER_COST / account.weight;
+        account.virtual_finish =
+            virtual_start + cost * VIRTUAL_TIME_PER_COST / account.weight;
         account.keys.insert(arrival, key);
         self.cost += cost;
         let waiting = Waiting { customer: customer.clone(), cost, item };
@@ -187,13 +189,13 @@
         key
     }
 
-    /// Takes out the latest item of the customer furthest over its share.
+    /// Removes the latest item of the customer that most exceeds its share.
     ///
-    /// Without it one customer could fill the queue, and every other one would
-    /// be refused although its own line is empty.
+    /// Without displacement one customer could fill the queue, and all others would
+    /// be refused even though they have nothing queued.
     fn displace_for(&mut self, customer: &Name, weight: u64) -> Option<T> {
-        let own = self.accounts.get(customer).map_or(0, |a| a.keys.len() as u64);
-        let own_load = (own + 1) * 1_000 / weight.max(1);
+        let own_items = self.accounts.get(customer).map_or(0, |a| a.keys.len() as u64);
+        let own_load = (own_items + 1) * 1_000 / weight.max(1);
         let (name, load) = self
             .accounts
             .iter()
@@ -204,7 +206,7 @@
             return None;
         }
         let key = *self.accounts.get(name)?.keys.last_key_value()?.1;
-        // The displaced item was never served, so its customer gets its tag back.
+        // The displaced item was never served, so its cost is refunded.
         let name = name.clone();
         let account = self.accounts.get_mut(&name)?;
         account.virtual_finish = key.virtual_start;
