--- a/crates/bilberry-core/src/readings.rs
+++ b/crates/bilberry-core/src/readings.rs
@@ -1,56 +1,56 @@
-//! Shared parts that an upstream reads at this moment.
+//! Shared prompt parts that upstreams are currently prefilling.
 //!
-//! The load pattern: new weights, a crash or a hot key leave a shared part in no
-//! cache. Before the first request for it has been answered, a dozen others arrive at
-//! several entries, go to as many engines, and each engine reads the same part. With
-//! this they wait for the first and fetch from it: 0.012 more of the callers' worth on
-//! days of crashes, new weights and bursts, mean of twelve paired plays on three
-//! deployments, and 0.001 on quiet ones.
+//! New weights, a crash or a hot key can leave a shared part in no cache. Before the
+//! first request for it is answered, a dozen others arrive at several entries and go to
+//! as many engines, and each engine prefills the same part. Instead, they wait for the
+//! first prefill and fetch its result. This raised the value delivered to callers by
+//! 0.012 on days with crashes, new weights and bursts, the mean of twelve paired runs
+//! on three deployments, and by 0.001 on quiet days.
 
 use std::collections::HashMap;
 
 use crate::Name;
 use crate::UnixMs;
 
-/// How many times the reading of a part is waited for in place of reading it.
+/// The longest wait for another engine's prefill, in multiples of the own prefill time.
 ///
-/// An engine with much before it may not come to the part for long.
-const WAIT_READINGS: u64 = 2;
+/// An engine with a long backlog may not reach the part for a long time.
+const MAX_WAIT_PREFILLS: u64 = 2;
 
-/// The part of its target for which a request waits for parts at most.
+/// The divisor of a request's latency target that limits its wait for parts.
 ///
-/// A caller that waited longer would get its answer late, as the rest of its prompt is
-/// still to be read.
-const WAIT_PART: u64 = 3;
+/// After a longer wait the answer would be late, because the rest of the prompt still
+/// has to be prefilled.
+const TARGET_WAIT_DIVISOR: u64 = 3;
 
-/// How many parts are remembered before those out of date are cleared away.
-const CLEAR_ABOVE: usize = 10_000;
+/// The number of tracked parts above which expired ones are removed.
+const EXPIRED_CLEANUP_THRESHOLD: usize = 10_000;
 
-/// Returns for how long a request waits for parts that others read, at most.
+/// Returns the longest time that a request waits for parts prefilled by others.
 pub fn most_wait_for_parts_ms(target_ms: u64) -> u64 {
-    target_ms / WAIT_PART
+    target_ms / TARGET_WAIT_DIVISOR
 }
 
-/// Shared parts that are read at this moment, and by whom.
+/// The shared parts being prefilled, with the upstream that prefills each.
 #[derive(Debug, Default)]
 pub struct Readings {
     by_part: HashMap<u64, Reading>,
 }
 
-/// One part that is read.
+/// The prefill of one part.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reading {
-    /// The upstream that reads it.
+    /// The upstream that prefills the part.
     pub upstream: Name,
-    /// When it should have been read; it is no longer waited for then.
+    /// The expected completion time, after which requests no longer wait for it.
     pub done_by: UnixMs,
 }
 
 impl Readings {
-    /// Notes that an upstream begins to read a part; a reading that is known already
-    /// and not out of date stays.
+    /// Records that an upstream starts to prefill a part, unless an unexpired prefill of
+    /// the part is already known.
     pub fn begin(&mut self, part: u64, reading: Reading, now: UnixMs) {
-        if self.by_part.len() > CLEAR_ABOVE {
+        if self.by_part.len() > EXPIRED_CLEANUP_THRESHOLD {
             self.by_part.retain(|_, reading| !reading.done_by.has_passed_at(now));
         }
         let known = self.by_part.entry(part).or_insert_with(|| reading.clone());
@@ -59,24 +59,24 @@
         }
     }
 
-    /// Notes that a part has been read.
+    /// Records that a part has been prefilled.
     pub fn end(&mut self, part: u64) {
         self.by_part.remove(&part);
     }
 
-    /// Returns who reads a part now, if that is worth waiting for by a request that
-    /// would take `read_ms` to read it itself.
+    /// Returns the current prefill of a part if it is worth waiting for, given that the
+    /// request's own engine would need `prefill_ms`.
     pub fn worth_awaiting(
         &self,
         part: u64,
-        read_ms: u64,
+        prefill_ms: u64,
         now: UnixMs,
     ) -> Option<&Reading> {
-        let soon = now.plus_ms(read_ms * WAIT_READINGS);
-        self.of(part, now).filter(|reading| reading.done_by <= soon)
+        let wait_until = now.plus_ms(prefill_ms * MAX_WAIT_PREFILLS);
+        self.of(part, now).filter(|reading| reading.done_by <= wait_until)
     }
 
-    /// Returns who reads a part now, if anybody does.
+    /// Returns the current prefill of a part, if there is one.
     pub fn of(&self, part: u64, now: UnixMs) -> Option<&Reading> {
         self.by_part.get(&part).filter(|reading| !reading.done_by.has_passed_at(now))
     }
--- a/crates/bilberry-core/src/request_key.rs
+++ b/crates/bilberry-core/src/request_key.rs
@@ -1,20 +1,21 @@
-//! A key of what a request asks for, whatever attempt carries it.
+//! A key that identifies a request across its attempts.
 
 use std::fmt;
 
-/// A key that is equal for each attempt of one request.
+/// A key that is the same for all attempts of a request.
 ///
-/// Collision resistant, as requests with equal keys share their standing: a caller that
-/// could construct the key of another customer's request could have it rejected.
+/// The key must be collision resistant, because requests with equal keys share one
+/// record in the crash ledger: a caller able to construct the key of another customer's
+/// request could get that request rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestKey(pub u64);
 
 impl RequestKey {
-    /// Computes the key from the parts that name a request, in a fixed order.
+    /// Computes the key from the parts that identify a request, in a fixed order.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in parts {
-            // The length keeps apart parts that are equal once joined.
+            // The length prefix distinguishes parts that are equal when concatenated.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
--- a/crates/bilberry-core/src/retry.rs
+++ b/crates/bilberry-core/src/retry.rs
@@ -1,43 +1,43 @@
-//! Limits on retries, and when a refused caller should come back.
+//! Retry budgets, backoff and retry-after times.
 
-/// How much one request earns towards retries, in thousandths of a retry.
-const EARNED_PER_REQUEST_MILLI: u64 = 100;
+/// The credit that a request adds to the retry budget, in thousandths of a retry.
+const CREDIT_PER_REQUEST_MILLI: u64 = 100;
 
-/// How many thousandths one retry costs.
+/// The cost of a retry, in thousandths of a retry.
 const COST_PER_RETRY_MILLI: u64 = 1_000;
 
-/// The most that is saved up, in thousandths.
-const MOST_SAVED_MILLI: u64 = 10_000;
+/// The maximum balance, in thousandths of a retry.
+const MAX_BALANCE_MILLI: u64 = 10_000;
 
-/// The smallest time after which a refused caller is asked back.
-const LEAST_RETRY_AFTER_MS: u64 = 1_000;
+/// The shortest time after which a refused caller is asked to retry.
+const MIN_RETRY_AFTER_MS: u64 = 1_000;
 
-/// A budget that keeps retries to a tenth of the traffic.
+/// A budget that limits retries to a tenth of the traffic.
 ///
-/// Without it each refusal of an overloaded upstream would become a call to the
-/// next one, and the overload would grow by as many times as there are tries.
+/// Without it every refusal by an overloaded upstream would cause a call to the next
+/// one, multiplying the overload by the number of attempts.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    saved_milli: u64,
+    balance_milli: u64,
 }
 
 impl RetryBudget {
-    /// Creates a budget with its full savings.
+    /// Creates a budget with the maximum balance.
     pub fn new() -> Self {
-        Self { saved_milli: MOST_SAVED_MILLI }
+        Self { balance_milli: MAX_BALANCE_MILLI }
     }
 
-    /// Earns the share of one first try.
+    /// Adds the credit of one first attempt.
     pub fn earn(&mut self) {
-        self.saved_milli =
-            (self.saved_milli + EARNED_PER_REQUEST_MILLI).min(MOST_SAVED_MILLI);
+        self.balance_milli =
+            (self.balance_milli + CREDIT_PER_REQUEST_MILLI).min(MAX_BALANCE_MILLI);
     }
 
-    /// Spends one retry; returns false if there is none to spend.
+    /// Spends one retry; returns false if the balance is too low.
     pub fn spend(&mut self) -> bool {
-        match self.saved_milli.checked_sub(COST_PER_RETRY_MILLI) {
+        match self.balance_milli.checked_sub(COST_PER_RETRY_MILLI) {
             Some(left) => {
-                self.saved_milli = left;
+                self.balance_milli = left;
                 true
             }
             None => false,
@@ -51,20 +51,20 @@
     }
 }
 
-/// Returns the pause before try `try_number`, doubled each time and jittered.
+/// Returns the delay before attempt `attempt`, with exponential growth and full jitter.
 ///
-/// `unit` is a random number in 0..1. The full range is used, as clients that
-/// failed together would otherwise come back together.
-pub fn backoff_ms(try_number: u32, base_ms: u64, most_ms: u64, unit: f64) -> u64 {
-    let ceiling = base_ms.saturating_mul(1 << try_number.min(16)).min(most_ms);
-    (ceiling as f64 * unit) as u64
+/// `random` is a random number in 0..1. Jitter covers the full range, because clients
+/// that failed together would otherwise retry together.
+pub fn backoff_ms(attempt: u32, base_ms: u64, max_ms: u64, random: f64) -> u64 {
+    let ceiling = base_ms.saturating_mul(1 << attempt.min(16)).min(max_ms);
+    (ceiling as f64 * random) as u64
 }
 
-/// Returns when a refused caller should come back.
+/// Returns the time after which a refused caller should retry.
 ///
-/// Callers refused together are spread over one to two times the present wait,
-/// so that they don't return as one herd.
-pub fn retry_after_ms(wait_ms: u64, unit: f64) -> u64 {
-    let base_ms = wait_ms.max(LEAST_RETRY_AFTER_MS);
-    base_ms + (base_ms as f64 * unit) as u64
+/// Retries are spread over one to two times the current wait, so that callers refused
+/// together do not return at the same time. `random` is a random number in 0..1.
+pub fn retry_after_ms(wait_ms: u64, random: f64) -> u64 {
+    let base_ms = wait_ms.max(MIN_RETRY_AFTER_MS);
+    base_ms + (base_ms as f64 * random) as u64
 }
--- a/crates/bilberry-core/src/rollout.rs
+++ b/crates/bilberry-core/src/rollout.rs
@@ -1,101 +1,102 @@
-//! In which order the servers of a service take new weights.
+//! The schedule by which the servers of a service load new weights.
 //!
-//! The load pattern: new weights are named every few seconds under full traffic.
-//! A server that loads serves nothing, loads slow one another down when many run
-//! at once, and requests on older weights lose worth after a second or two.
+//! New weights may be announced every few seconds under full traffic. A loading server
+//! serves no requests, concurrent loads slow each other down, and answers from older
+//! weights lose value after a second or two.
 
 use crate::UnixMs;
 
-/// The part of a service's servers that load at once.
+/// The divisor of a service's server count that gives the number of concurrent loads.
 ///
-/// More at once take longer each and leave too few that serve.
+/// With more concurrent loads, each takes longer and too few servers keep serving.
 const WAVE_DIVISOR: usize = 5;
 
-/// How long a load is assumed to take before one was measured.
-const FIRST_LOAD_MS: u64 = 500;
+/// The assumed duration of a load until one has been measured.
+const DEFAULT_LOAD_MS: u64 = 500;
 
-/// How much longer than the last load a wave is given.
+/// The time added to the duration of the last load to get the length of a wave.
 const WAVE_SLACK_MS: u64 = 30;
 
-/// The longest that one wave is waited for.
+/// The longest load duration used to schedule waves.
 ///
-/// A load that was measured among stragglers must not delay all later servers.
-const MOST_WAVE_MS: u64 = 900;
+/// The measured load of a straggler must not delay all later servers.
+const MAX_LOAD_MS: u64 = 900;
 
-/// The part of the bound on older weights within which the last wave starts.
+/// The divisor of the bound on older weights that limits the start of the last wave.
 ///
-/// The other half is for loads that are slow or are ordered twice. Without it, 44
-/// servers of which 15 are down take 38 s for a rollout, and most of those that live
-/// are barred for older weights meanwhile.
-const BOUND_PART: u64 = 2;
+/// The other half of the bound is reserved for loads that are slow or ordered twice.
+/// Without the limit, a rollout over 44 servers of which 15 are down takes 38 s, and
+/// most of the running servers are excluded for their older weights meanwhile.
+const BOUND_DIVISOR: u64 = 2;
 
-/// The place of one server among those of its service.
+/// The position of a server among those of its service.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub struct RolloutPlace {
     /// Its position in the agreed order.
     pub position: usize,
-    /// How many servers there are.
+    /// The number of servers.
     pub servers: usize,
-    /// How many of them are down.
+    /// The number of servers that are down.
     pub down: usize,
 }
 
-/// The waves in which a service takes new weights.
+/// The waves in which the servers of a service load new weights.
 #[derive(Debug, Copy, Clone)]
 pub struct Rollout {
     load_ms: u64,
-    most_ms: Option<u64>,
+    last_start_ms: Option<u64>,
 }
 
 impl Rollout {
-    /// Creates a plan that has seen no load yet, where nothing may begin on older
+    /// Creates a schedule without a measured load; no request may start on older
     /// weights after `bound_ms`.
     pub fn new(bound_ms: Option<u64>) -> Self {
-        let most_ms = bound_ms.map(|bound_ms| bound_ms / BOUND_PART);
-        Self { load_ms: FIRST_LOAD_MS, most_ms }
+        let last_start_ms = bound_ms.map(|bound_ms| bound_ms / BOUND_DIVISOR);
+        Self { load_ms: DEFAULT_LOAD_MS, last_start_ms }
     }
 
-    /// Notes how long a load took.
+    /// Records the duration of a load.
     pub fn measure(&mut self, load_ms: u64) {
-        self.load_ms = load_ms.min(MOST_WAVE_MS);
+        self.load_ms = load_ms.min(MAX_LOAD_MS);
     }
 
-    /// Returns when a server starts to load weights named at `named_at`.
+    /// Returns when a server starts to load weights announced at `announced_at`.
     ///
-    /// Waves follow from the agreed order and the clock alone. A server that is
-    /// down or cut off delays nobody, and no message is needed in the seconds in
-    /// which the platform may be away.
-    pub fn starts_at(&self, named_at: UnixMs, place: RolloutPlace) -> UnixMs {
+    /// Waves depend only on the agreed order and the clock. A server that is down or
+    /// partitioned delays no other, and no message is needed while the platform may be
+    /// unavailable for seconds.
+    pub fn starts_at(&self, announced_at: UnixMs, place: RolloutPlace) -> UnixMs {
         let wave_ms = self.load_ms + WAVE_SLACK_MS;
-        let wave = (place.position / self.width(place, wave_ms)) as u64;
-        named_at.plus_ms(wave * wave_ms)
+        let wave = (place.position / self.wave_size(place, wave_ms)) as u64;
+        announced_at.plus_ms(wave * wave_ms)
     }
 
-    fn width(&self, place: RolloutPlace, wave_ms: u64) -> usize {
-        // Servers that are down are missing already; where a third was lost and
-        // a full wave loaded besides, the memory of the rest was full at once.
-        let wanted = place.servers.div_ceil(WAVE_DIVISOR);
-        let bearable = wanted.saturating_sub(place.down);
-        // In time all the same: servers that are late serve nothing at all.
-        let needed = self.most_ms.map_or(1, |most_ms| {
-            let waves = (most_ms / wave_ms).max(1);
+    fn wave_size(&self, place: RolloutPlace, wave_ms: u64) -> usize {
+        // Servers that are down already reduce capacity. With a third of them down and
+        // a full wave loading as well, the memory of the others filled up immediately.
+        let full_wave = place.servers.div_ceil(WAVE_DIVISOR);
+        let affordable = full_wave.saturating_sub(place.down);
+        // The rollout must still meet the bound, because servers that load too late
+        // are excluded entirely.
+        let required = self.last_start_ms.map_or(1, |last_start_ms| {
+            let waves = (last_start_ms / wave_ms).max(1);
             place.servers.div_ceil(waves as usize)
         });
-        bearable.max(needed).max(1)
+        affordable.max(required).max(1)
     }
 }
 
-/// The longest that a server whose turn has come works off what waits there.
+/// The longest time that a server drains its queue after its turn to load has come.
 ///
-/// A load throws back whatever has not begun. Those callers waited in vain and come to
-/// the servers that are left, which are full already.
-const MOST_DRAIN_MS: u64 = 1_000;
+/// A load rejects all queued requests. Their callers have waited in vain and retry at
+/// the remaining servers, which are already full.
+const MAX_DRAIN_MS: u64 = 1_000;
 
-/// Reports whether a server whose turn came at `turn_at` may begin to load, while
-/// `waiting` requests wait there.
+/// Reports whether a server whose turn came at `turn_at` may start to load while
+/// `queued` requests are queued at it.
 ///
-/// It gets no new work from its turn on and goes on with what waits, so nothing of it is
-/// idle meanwhile.
-pub fn may_begin_load(turn_at: UnixMs, waiting: u64, now: UnixMs) -> bool {
-    waiting == 0 || turn_at.plus_ms(MOST_DRAIN_MS).has_passed_at(now)
+/// From its turn on the server gets no new requests and works through its queue, so it
+/// is not idle meanwhile.
+pub fn may_begin_load(turn_at: UnixMs, queued: u64, now: UnixMs) -> bool {
+    queued == 0 || turn_at.plus_ms(MAX_DRAIN_MS).has_passed_at(now)
 }
--- a/crates/bilberry-core/src/routing.rs
+++ b/crates/bilberry-core/src/routing.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request goes to.
+//! Selection of the upstream for a request.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -6,14 +6,16 @@
 use crate::Name;
 use crate::TOKENS_PER_BLOCK;
 
-/// Which part of the time to recompute a prompt is worth waiting.
-const PATIENCE_PART: f64 = 3.0;
+/// The divisor of a prompt's recompute time that gives the wait for late probes.
+const PROBE_WAIT_DIVISOR: f64 = 3.0;
 
-/// How often a prompt is computed that goes where no rank leads.
+/// The number of times a prompt is assumed to be computed if it is sent to an upstream
+/// that was not chosen by rank.
 ///
-/// The next entry asks others and computes it again. Counted once, an idle upstream
-/// that looked a little faster drew prompts away from all that are asked for them.
-const COMPUTED_OFF_RANK: f64 = 2.0;
+/// The next entry probes other upstreams, so the prompt is computed again. With a
+/// factor of one, an idle upstream that appeared slightly faster drew prompts away from
+/// the upstreams that all entries probe for them.
+const UNRANKED_COMPUTE_FACTOR: f64 = 2.0;
 
 /// A data centre within a region.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -31,7 +33,7 @@
         Some(Self { region: region.into(), hall: hall.into() })
     }
 
-    /// Returns an estimate of the round trip to another place.
+    /// Returns an estimate of the round-trip time to another data centre.
     pub fn distance_ms(&self, other: &Self) -> u64 {
         match self {
             _ if self == other => 0,
@@ -46,9 +48,9 @@
 pub struct Candidate {
     /// The upstream.
     pub upstream: Name,
-    /// A hash of the name, computed once when the configuration is compiled.
+    /// A hash of the name, computed once when the configuration is compiled, for ranking.
     pub seed: u64,
-    /// The least load known lately, in milliseconds of waiting.
+    /// The lowest recently known load, in milliseconds of waiting.
     pub wait_ms: u64,
 }
 
@@ -60,31 +62,32 @@
     }
 }
 
-/// One upstream worth asking.
+/// An upstream to probe.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub struct Seat {
-    /// The position of the upstream.
+    /// The index of the upstream.
     pub at: usize,
-    /// Whether the prompt's ranks lead to it, so that every entry asks it.
+    /// Whether it was chosen by rank, so that every entry probes it for this prompt.
     pub is_ranked: bool,
 }
 
-/// Returns the position of a hash's home among `seeds`; `None` where there are none.
+/// Returns the index of the seed that ranks highest for a hash; `None` if there are none.
 ///
-/// All who see the same seeds agree, and one that goes moves only what it was home to.
+/// All callers with the same seeds agree. Removing a seed only moves the hashes for
+/// which it ranked highest.
 pub fn home(hash: u64, seeds: &[u64]) -> Option<usize> {
     (0..seeds.len()).max_by_key(|&at| rank(hash, seeds[at]))
 }
 
-/// Returns the rank of an upstream for a hash; the highest is the hash's home.
+/// Returns the rank of an upstream for a hash; the highest rank is preferred.
 pub(crate) fn rank(hash: u64, upstream_seed: u64) -> u64 {
     xxh3_64_with_seed(&hash.to_le_bytes(), upstream_seed)
 }
 
-/// Returns the `count` upstreams that rank highest for `hash`, as positions.
+/// Returns the indices of the `count` upstreams that rank highest for `hash`.
 ///
-/// Every entry computes the same order with no communication, and the loss of
-/// one upstream moves only the prefixes that it ranked highest for.
+/// Every entry computes the same order without communication, and the loss of an
+/// upstream moves only the prefixes for which it ranked highest.
 pub fn rendezvous(hash: u64, upstreams: &[Candidate], count: usize) -> Vec<usize> {
     let mut ranked: Vec<_> =
         upstreams.iter().enumerate().map(|(at, c)| (rank(hash, c.seed), at)).collect();
@@ -98,44 +101,45 @@
     ranked.into_iter().map(|(_, at)| at).collect()
 }
 
-/// Returns the upstreams worth asking, best guess first.
+/// Returns up to `limit` upstreams to probe, most promising first.
 ///
-/// For depths 1, 2, 4, 8 ... blocks the `per_depth` highest ranks are taken,
-/// deepest first, then the least loaded; `most` bounds the whole. `random` breaks
-/// ties between idle upstreams, so that they are not all asked in one order.
+/// For prefixes of 1, 2, 4, 8 ... blocks, deepest first, the `per_depth` highest ranked
+/// upstreams are selected, then the least loaded one. `random` breaks ties between idle
+/// upstreams, so that entries do not all probe the same one.
 pub fn candidates(
     chain: &Chain,
     upstreams: &[Candidate],
     per_depth: usize,
-    most: usize,
+    limit: usize,
     random: u64,
 ) -> Vec<Seat> {
-    let mut seats: Vec<Seat> = Vec::with_capacity(most);
-    let mut add = |at: usize, is_ranked: bool, room: usize| {
-        if seats.len() < room && seats.iter().all(|seat| seat.at != at) {
+    let mut seats: Vec<Seat> = Vec::with_capacity(limit);
+    let mut add = |at: usize, is_ranked: bool, max_len: usize| {
+        if seats.len() < max_len && seats.iter().all(|seat| seat.at != at) {
             seats.push(Seat { at, is_ranked });
         }
     };
-    // The last seat is kept for the least loaded: where all holders of a prefix
-    // are busy, someone idle must be among those asked.
-    let room = most.saturating_sub(1).max(1);
+    // One probe is reserved for the least loaded upstream, so that an idle upstream is
+    // probed even if all holders of the prefix are busy.
+    let ranked_limit = limit.saturating_sub(1).max(1);
     for depth in geometric_depths(chain.len()) {
         let hash = chain.hashes()[depth - 1];
         for at in rendezvous(hash, upstreams, per_depth) {
-            add(at, true, room);
+            add(at, true, ranked_limit);
         }
     }
-    // Where the ranks of several depths fall on one upstream, seats stay free.
-    // They go on down the ranks of the root, so that a busy few have company.
+    // If several depths rank the same upstreams highest, the remaining probes go to
+    // lower ranks for the root block, which provides alternatives to busy upstreams.
     if let Some(root) = chain.hashes().first() {
-        for at in rendezvous(*root, upstreams, room) {
-            add(at, true, room);
+        for at in rendezvous(*root, upstreams, ranked_limit) {
+            add(at, true, ranked_limit);
         }
     }
-    let tie = |c: &Candidate| rank(random, c.seed);
-    let idle = upstreams.iter().enumerate().min_by_key(|(_, c)| (c.wait_ms, tie(c)));
+    let tie_break = |c: &Candidate| rank(random, c.seed);
+    let idle =
+        upstreams.iter().enumerate().min_by_key(|(_, c)| (c.wait_ms, tie_break(c)));
     if let Some((at, _)) = idle {
-        add(at, false, most);
+        add(at, false, limit);
     }
     seats
 }
@@ -146,25 +150,25 @@
     (0..deepest).rev().map(|bits| 1 << bits)
 }
 
-/// What a probe, or a lagging report in its place, says of one upstream.
+/// The state of an upstream according to a probe or, failing that, an older report.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ProbeView {
     /// The upstream.
     pub upstream: Name,
-    /// How many blocks of the chain it holds.
+    /// The number of blocks of the chain that it has cached.
     pub held_blocks: u64,
-    /// How long a request would wait there before its prefill starts.
+    /// The time that a request would wait before its prefill starts.
     pub wait_ms: f64,
-    /// How long one prompt token takes to compute, in microseconds.
+    /// The prefill time per prompt token, in microseconds.
     pub prefill_us_per_token: f64,
-    /// The round trip to the upstream.
+    /// The round-trip time to the upstream.
     pub distance_ms: f64,
-    /// Whether the prompt's ranks lead to it, so that every entry asks it.
+    /// Whether it was chosen by rank, so that every entry probes it for this prompt.
     pub is_ranked: bool,
 }
 
 impl ProbeView {
-    /// Returns how long it takes to compute what is missing of a prompt.
+    /// Returns the time to compute the uncached blocks of a prompt.
     fn recompute_ms(&self, prompt_blocks: u64) -> f64 {
         let missing_blocks = prompt_blocks.saturating_sub(self.held_blocks);
         let missing_tokens = missing_blocks * TOKENS_PER_BLOCK;
@@ -172,26 +176,26 @@
     }
 }
 
-/// How the operators weigh recomputed tokens against waiting.
+/// The configured weighting of recomputation against waiting.
 #[derive(Debug, Copy, Clone, PartialEq)]
 pub struct Weighing {
-    /// The worth of a recomputed millisecond, in milliseconds of waiting.
+    /// The cost of a millisecond of recomputation, in milliseconds of waiting.
     ///
-    /// One minimises the caller's own time to first token. Above one, blocks of
-    /// others are spared, which later requests would otherwise recompute.
+    /// A weight of one minimizes the caller's own time to first token. A higher weight
+    /// evicts fewer blocks of other prompts, which later requests would recompute.
     pub recompute_weight: f64,
 }
 
 impl Weighing {
-    /// Returns the score of an upstream; the smallest is best.
+    /// Returns the score of an upstream; lower is better.
     pub fn score(self, view: &ProbeView, prompt_blocks: u64) -> f64 {
-        let computed = if view.is_ranked { 1.0 } else { COMPUTED_OFF_RANK };
-        let recompute_ms = computed * view.recompute_ms(prompt_blocks);
+        let compute_factor = if view.is_ranked { 1.0 } else { UNRANKED_COMPUTE_FACTOR };
+        let recompute_ms = compute_factor * view.recompute_ms(prompt_blocks);
         view.wait_ms + view.distance_ms + self.recompute_weight * recompute_ms
     }
 }
 
-/// Returns the position of the best view; equal scores keep the given order.
+/// Returns the index of the view with the lowest score; ties go to the earliest view.
 pub fn choose(
     views: &[ProbeView],
     prompt_blocks: u64,
@@ -201,11 +205,13 @@
     scores.enumerate().min_by(|a, b| a.1.total_cmp(&b.1)).map(|(at, _)| at)
 }
 
-/// Returns how much longer late answers are worth waiting for.
+/// Returns how much longer to wait for late probe responses, at most `max_ms`.
 ///
-/// A part of what recomputing would take at the best of those that answered, so
-/// that the wait costs little even if nobody holds more; `most_ms` if none has.
-pub fn patience_ms(views: &[ProbeView], prompt_blocks: u64, most_ms: f64) -> f64 {
-    let part_ms = |view: &ProbeView| view.recompute_ms(prompt_blocks) / PATIENCE_PART;
-    views.iter().map(part_ms).reduce(f64::min).unwrap_or(most_ms).min(most_ms)
+/// The wait is a fraction of the shortest recompute time among the upstreams that have
+/// responded, so it costs little even if no other upstream has more cached. If none has
+/// responded, the wait is `max_ms`.
+pub fn patience_ms(views: &[ProbeView], prompt_blocks: u64, max_ms: f64) -> f64 {
+    let wait_ms_for =
+        |view: &ProbeView| view.recompute_ms(prompt_blocks) / PROBE_WAIT_DIVISOR;
+    views.iter().map(wait_ms_for).reduce(f64::min).unwrap_or(max_ms).min(max_ms)
 }
--- a/crates/bilberry-core/src/run_end.rs
+++ b/crates/bilberry-core/src/run_end.rs
@@ -1,95 +1,98 @@
-//! Whether a run that fell silent is over, so that another engine may go on with it.
+//! Detection of the end of an unresponsive run, so that another engine may continue it.
 //!
-//! The load pattern: a host stands still for seconds and goes on where it was, its engine
-//! and its sidecar alike. Silence of any length, from however many of them, proves
-//! nothing, and neither does a connection that was closed, by whom can't be told. Taken
-//! for the engine's end, two engines work on what may run once.
+//! A host may pause for seconds and then resume, together with its engine and sidecar.
+//! No period of silence proves that the run has ended, no matter how many processes are
+//! silent. Neither does a closed connection, because it is unknown who closed it.
+//! Treating either as proof could let two engines execute a run that may execute only
+//! once.
 
-/// How many new connections in a row get no sign before a host is out of reach.
+/// The number of consecutive connection attempts without any response after which a
+/// host is considered unreachable.
 ///
-/// A lost packet hides one of them; three in a row, a link that others get through.
-const SILENT_CONNECTIONS: u32 = 3;
+/// A lost packet can hide the response to one attempt. Three in a row take a failure of
+/// the link from this process, which others may not share.
+const UNREACHABLE_AFTER_SILENT: u32 = 3;
 
-/// What a host does with a new connection.
+/// The result of a connection attempt to a host.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum Reach {
-    /// It takes the connection, so it is there, whether or not anything on it moves.
+    /// The host accepted the connection, so it is up, even if its processes are paused.
     Taken,
-    /// It refuses the connection: nothing listens there any more.
+    /// The host refused the connection, so nothing listens on the port.
     Refused,
-    /// It gives no sign in the time that a connection takes.
+    /// The host did not respond within the connection timeout.
     Silent,
 }
 
-/// What the sidecar on an engine's host reports of it.
+/// The engine's state as reported by the sidecar on its host.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum SidecarStatus {
-    /// The engine answers it.
+    /// The engine responds to the sidecar.
     Up,
-    /// The engine does not answer it.
+    /// The engine does not respond to the sidecar.
     Down,
-    /// It has sent no update lately.
+    /// The sidecar has sent no recent update.
     Silent,
 }
 
-/// Why a run is taken to be over where it was.
+/// Why a run is considered ended at its engine.
 #[derive(Debug, Copy, Clone, PartialEq, Eq, Hash)]
 pub enum RunEnd {
-    /// Its engine stopped it when asked to.
+    /// The engine stopped the run on request.
     Stopped,
-    /// Its engine says that there is no such run.
+    /// The engine does not know the run.
     Unknown,
-    /// Its engine has started again since.
+    /// The engine has restarted since the run began.
     StartedAnew,
-    /// Nothing listens where its engine did.
+    /// Nothing listens on the engine's port.
     Refused,
-    /// Its engine can't be reached at all.
-    OutOfReach,
+    /// The engine's host is unreachable.
+    Unreachable,
 }
 
 impl RunEnd {
-    /// Returns the word for logs.
+    /// Returns the description used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Stopped => "stopped",
             Self::Unknown => "no such run",
             Self::StartedAnew => "started again",
             Self::Refused => "refused",
-            Self::OutOfReach => "out of reach",
+            Self::Unreachable => "out of reach",
         }
     }
 }
 
-/// The new connections that were tried to the engine of a silent run.
+/// The connection attempts to the engine of an unresponsive run.
 #[derive(Debug, Clone, Default)]
 pub struct Reaching {
-    silent_in_a_row: u32,
+    consecutive_silent: u32,
 }
 
 impl Reaching {
-    /// Takes in one more; returns the end that it proves, if any.
+    /// Records an attempt; returns the reason if it proves that the run has ended.
     ///
-    /// While the stream's own connection is open its host acknowledges what it is sent,
-    /// so it is there: new connections may be refused or wait in a full queue. A sidecar
-    /// that hears its engine shows the same.
+    /// While the stream's connection is open, its host acknowledges packets and is up,
+    /// although it may refuse new connections or leave them in a full accept queue. A
+    /// sidecar that reports its engine as up shows the same.
     pub fn note(
         &mut self,
         reach: Reach,
         sidecar: SidecarStatus,
         stream_is_open: bool,
     ) -> Option<RunEnd> {
-        self.silent_in_a_row = match reach {
-            Reach::Silent => self.silent_in_a_row + 1,
+        self.consecutive_silent = match reach {
+            Reach::Silent => self.consecutive_silent + 1,
             Reach::Taken | Reach::Refused => 0,
         };
         match reach {
             _ if stream_is_open => None,
             Reach::Refused => Some(RunEnd::Refused),
             Reach::Silent
-                if self.silent_in_a_row >= SILENT_CONNECTIONS
+                if self.consecutive_silent >= UNREACHABLE_AFTER_SILENT
                     && sidecar != SidecarStatus::Up =>
             {
-                Some(RunEnd::OutOfReach)
+                Some(RunEnd::Unreachable)
             }
             Reach::Silent | Reach::Taken => None,
         }
--- a/crates/bilberry-core/src/shared_budget.rs
+++ b/crates/bilberry-core/src/shared_budget.rs
@@ -1,63 +1,63 @@
-//! One budget for repeats that all entries draw on without talking.
+//! A retry budget that all entries share without communication.
 //!
-//! The load pattern: engines crash one after the other under full load. Requests that
-//! have not begun are sent on from engine to engine, each of which is full, and when the
-//! next engine crashes no repeat is left for the streams that ran there. Their callers
-//! lose what they had got, while a request that has not begun could still be refused
-//! and come back. With a part set aside for begun streams a quarter more of them went on
-//! elsewhere, 253 in place of 203 in six paired plays of such crashes, and a fifth fewer
-//! requests ended cut.
+//! When engines crash one after another under full load, requests that have not started
+//! are retried on one full engine after another. At the next crash no retry is left for
+//! the streams of that engine. Their callers lose the output that they have received,
+//! whereas a request that has not started can still be refused and retried by its
+//! caller. Reserving part of the budget for started streams let a quarter more of them
+//! resume elsewhere, 253 instead of 203 in six paired runs of such crashes, and a fifth
+//! fewer requests were cut off.
 
 use std::collections::VecDeque;
 
 use crate::UnixMs;
 use crate::entry_share::entry_share;
 
-/// How finely a window is counted.
+/// The length of the buckets in which a window is counted.
 const BUCKET_MS: u64 = 500;
 
-/// The part of the budget that is used.
+/// The fraction of the budget that can be spent.
 ///
-/// What is left is for requests that were counted here and are counted a moment later
-/// where they arrive, and for an entry that is cut off and counted all the same.
-const USED_PART: f64 = 0.9;
+/// The rest is a margin for requests that are counted here slightly earlier than where
+/// they arrive, and for an entry that is partitioned but still counted.
+const USABLE_FRACTION: f64 = 0.9;
 
-/// The part of the budget that requests may use of which no caller has got anything.
-const ANEW_PART: f64 = 0.6;
+/// The fraction of the budget available to requests whose callers have received nothing.
+const RESEND_FRACTION: f64 = 0.6;
 
-/// What a repeat is for.
+/// The purpose of a retry.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum Repeat {
-    /// A request of which its caller has got nothing is sent again.
+    /// Resends a request whose caller has received nothing.
     Anew,
-    /// A stream that its caller has begun to get is gone on with.
+    /// Resumes a stream that its caller has started to receive.
     GoOn,
 }
 
 impl Repeat {
-    fn part(self) -> f64 {
+    fn fraction(self) -> f64 {
         match self {
-            Self::Anew => ANEW_PART,
-            Self::GoOn => USED_PART,
+            Self::Anew => RESEND_FRACTION,
+            Self::GoOn => USABLE_FRACTION,
         }
     }
 }
 
-/// The limits on repeats of one service, over all entries.
+/// The retry limits of one service, over all entries.
 #[derive(Debug, Copy, Clone, PartialEq)]
 pub struct BudgetTerms {
-    /// Repeats allowed for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats allowed besides, over all entries, in one window.
+    /// Additional retries allowed per window, over all entries.
     pub slack: f64,
-    /// The window's length.
+    /// The length of the window.
     pub window_ms: u64,
 }
 
-/// The repeats of one service that one entry may make.
+/// An entry's share of the retry budget of one service.
 ///
-/// The part that grows with requests is safe to divide: each entry counts its
-/// own, and the sum over entries is the ratio of all requests. The fixed part is
+/// The part proportional to requests needs no division: each entry counts its own
+/// requests, and the shares add up to the ratio of all requests. The fixed part is
 /// divided by the number of entries.
 #[derive(Debug)]
 pub struct SharedBudget {
@@ -69,35 +69,35 @@
 struct Bucket {
     start: UnixMs,
     requests: u64,
-    repeats: u64,
+    retries: u64,
 }
 
 impl SharedBudget {
-    /// Creates a budget with nothing spent.
+    /// Creates an unspent budget.
     pub fn new(terms: BudgetTerms) -> Self {
         Self { terms, buckets: VecDeque::new() }
     }
 
-    /// Counts one request of a client.
+    /// Counts a client request.
     pub fn count_request(&mut self, now: UnixMs) {
         self.bucket(now).requests += 1;
     }
 
-    /// Takes one repeat out; returns false if there is none left.
+    /// Spends one retry; returns false if the budget is exhausted.
     pub fn spend(&mut self, now: UnixMs, entries: Option<usize>, repeat: Repeat) -> bool {
         self.bucket(now);
-        // A bucket that is partly out of the window counts with its repeats and without
-        // its requests, so that no window at all holds more than is allowed.
+        // For a bucket that is partly outside the window, only retries count, not
+        // requests, so that no window exceeds the budget.
         let window_start = self.window_start(now);
-        let whole = self.buckets.iter().filter(|bucket| bucket.start > window_start);
-        let requests: u64 = whole.map(|bucket| bucket.requests).sum();
-        let repeats: u64 = self.buckets.iter().map(|bucket| bucket.repeats).sum();
+        let complete = self.buckets.iter().filter(|bucket| bucket.start > window_start);
+        let requests: u64 = complete.map(|bucket| bucket.requests).sum();
+        let retries: u64 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         let slack = entry_share(self.terms.slack, entries);
         let allowed = requests as f64 * self.terms.ratio + slack;
-        if repeats as f64 + 1.0 > allowed * repeat.part() {
+        if retries as f64 + 1.0 > allowed * repeat.fraction() {
             return false;
         }
-        self.bucket(now).repeats += 1;
+        self.bucket(now).retries += 1;
         true
     }
 
@@ -110,8 +110,8 @@
         let window_start = self.window_start(now);
         self.buckets.retain(|bucket| bucket.start.plus_ms(BUCKET_MS) > window_start);
         if self.buckets.back().is_none_or(|bucket| bucket.start < start) {
-            self.buckets.push_back(Bucket { start, requests: 0, repeats: 0 });
+            self.buckets.push_back(Bucket { start, requests: 0, retries: 0 });
         }
-        self.buckets.back_mut().expect("a bucket was just made sure of")
+        self.buckets.back_mut().expect("a bucket exists for the current time")
     }
 }
--- a/crates/bilberry-core/src/source.rs
+++ b/crates/bilberry-core/src/source.rs
@@ -1,35 +1,34 @@
-//! From where an engine fetches what it lacks of a shared prompt.
+//! The source from which an engine fetches the uncached part of a shared prompt.
 //!
-//! The load pattern: prompts nested in levels, of which the first level is in
-//! every engine's cache and the deeper ones in one or two, or in the store of
-//! kept prompts alone. What no source supplies has to be read again, which takes
-//! some two hundred times as long as fetching it.
+//! Prompts are nested in levels. The first level is in every engine's cache, the deeper
+//! ones in one or two caches or only in the prompt store. Tokens that no source supplies
+//! must be prefilled again, which takes about 200 times as long as fetching them.
 
-/// What another engine could supply.
+/// The part of a prompt that another engine can supply.
 #[derive(Debug, Copy, Clone, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PeerCopy {
-    /// Shared tokens that it holds, counted from the prompt's start.
+    /// Shared tokens that the engine has cached, counted from the start of the prompt.
     pub held_tokens: u64,
-    /// Whether it stands in the data centre of the engine that fetches.
+    /// Whether it is in the same data centre as the fetching engine.
     pub same_place: bool,
 }
 
-/// Where to fetch from.
+/// The source of a fetch.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum Source {
-    /// The engine at this position.
+    /// The engine at this index.
     Peer(usize),
-    /// The store of kept prompts.
+    /// The prompt store.
     Store,
 }
 
-/// Returns the source that supplies most beyond `own_tokens`.
+/// Returns the source that supplies the most tokens beyond `own_tokens`.
 ///
-/// `kept_tokens` is what the store should have, `None` where no store answers.
-/// Another engine goes before the store if both supply as much: each engine has
-/// a link of its own, the store one for all. A store is named even where nothing
-/// is known to be lacking or kept: an engine that has it all fetches nothing, and
-/// one that was thought to may have evicted it since.
+/// `kept_tokens` are the tokens that the store should have, `None` if no store responds.
+/// Another engine is preferred if it supplies as many tokens as the store, because each
+/// engine has its own link and the store has a single one. The store is returned even if
+/// nothing is known to be missing or stored: an engine with all tokens fetches nothing,
+/// and an engine expected to have them may have evicted them.
 pub fn choose_source(
     own_tokens: u64,
     peers: &[PeerCopy],
@@ -38,8 +37,8 @@
     let best = peers.iter().enumerate().max_by_key(|(_, copy)| **copy);
     let best = best.filter(|(_, copy)| copy.held_tokens > own_tokens);
     match (best, kept_tokens) {
-        // An engine that holds only the first level would leave the deeper ones
-        // to be read: a seventh of all tokens read again, over twelve days of load.
+        // An engine with only the first level would leave the deeper levels to be
+        // prefilled, which recomputed a seventh of all tokens over twelve days of load.
         (Some((at, copy)), Some(kept)) if kept <= copy.held_tokens => {
             Some(Source::Peer(at))
         }
@@ -49,12 +48,12 @@
     }
 }
 
-/// Reports whether a prompt is given to the store of kept prompts.
+/// Reports whether a prompt should be saved in the prompt store.
 ///
-/// `lacking_tokens` are those that others share and the store lacks. The store is
-/// given the whole prompt, and what belongs to one request alone pushes out what
-/// others share. With prompts that are at most half their own, 12% fewer shared
-/// tokens are read again than with all of them, sum of nine days.
+/// `lacking_tokens` are the shared tokens that the store lacks. The store receives the
+/// whole prompt, and tokens specific to one request evict shared ones. Saving only
+/// prompts with at most as many own tokens as missing shared ones, instead of all
+/// prompts, recomputed 12% fewer shared tokens, summed over nine days.
 pub fn is_worth_keeping(lacking_tokens: u64, own_tokens: u64) -> bool {
     lacking_tokens > 0 && own_tokens <= lacking_tokens
 }
--- a/crates/bilberry-core/tests/forwarding.rs
+++ b/crates/bilberry-core/tests/forwarding.rs
@@ -93,8 +93,8 @@
     // have them. An answer on older ones loses a part of its worth, a late one
     // nearly all, so the newest win only while they are not much busier.
     let mut offers = vec![offer(1), offer(2), offer(3)];
-    offers[0].weights = Weights::Costly;
-    offers[1].weights = Weights::Costly;
+    offers[0].weights = Weights::Penalized;
+    offers[1].weights = Weights::Penalized;
     assert_eq!(place(&demand(), &offers), Some(2));
     offers[2].running = 10;
     offers[2].pending_tokens = 4_000;
@@ -136,8 +136,8 @@
     let ages = [0, 1_200, 1_400, 5_900, 6_100];
     let at_ages = ages.map(|age_ms| Weights::lacking(Some(age_ms), Some(8_000)));
     use Weights::*;
-    assert_eq!(at_ages, [Fine, Fine, Costly, Costly, Barred]);
-    assert_eq!(Weights::lacking(Some(60_000), None), Costly);
+    assert_eq!(at_ages, [Fine, Fine, Penalized, Penalized, Barred]);
+    assert_eq!(Weights::lacking(Some(60_000), None), Penalized);
     assert_eq!(Weights::lacking(None, Some(0)), Fine);
 }
 
@@ -455,7 +455,7 @@
         Weights::lacking(lacking_ms, Some(8_000))
     });
     use Weights::*;
-    assert_eq!(judged, [Barred, Costly, Fine, Fine]);
+    assert_eq!(judged, [Barred, Penalized, Fine, Fine]);
 }
 
 proptest! {
--- a/crates/bilberry-core/tests/run_end.rs
+++ b/crates/bilberry-core/tests/run_end.rs
@@ -32,7 +32,7 @@
                 last_taken = at + 1;
             }
             if let Some(end) = reaching.note(reach, word, false) {
-                assert_eq!(end, RunEnd::OutOfReach);
+                assert_eq!(end, RunEnd::Unreachable);
                 assert!(at + 1 - last_taken >= 3);
                 assert!(word != SidecarStatus::Up);
             }
@@ -48,7 +48,7 @@
     let ends: Vec<_> = (0..3)
         .map(|_| reaching.note(Reach::Silent, SidecarStatus::Silent, false))
         .collect();
-    assert_eq!(ends, [None, None, Some(RunEnd::OutOfReach)]);
+    assert_eq!(ends, [None, None, Some(RunEnd::Unreachable)]);
 }
 
 #[test]
