--- a/crates/bilberry-core/src/placement.rs
+++ b/crates/bilberry-core/src/placement.rs
@@ -98,10 +98,11 @@
     /// Returns the assumed age of the announcement of weights that a process finds
     /// announced at its start.
     ///
-    /// The actual time is unknown. Counted from the start of the process, older weights
-    /// could serve for the whole bound again. Excluded at the start, a restart during
-    /// an announcement would leave no server for seconds. They are therefore excluded
-    /// after the settling time of the process, before which the bound does not apply.
+    /// The actual time is unknown. If it were counted from the start of the process,
+    /// older weights could serve for the whole bound again. If they were excluded at the
+    /// start, a restart during an announcement would leave no server for seconds. They
+    /// are therefore excluded after the settling time of the process, before which the
+    /// bound does not apply.
     pub fn assumed_lacking_ms(bound_ms: Option<u64>, settle_ms: u64) -> u64 {
         let bound_ms = bound_ms.unwrap_or_default();
         bound_ms.saturating_sub(OLD_WEIGHTS_MARGIN_MS).saturating_sub(settle_ms)
--- a/crates/bilberry-core/tests/decisions.rs
+++ b/crates/bilberry-core/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The smaller decisions: depths, ranks, claims, leases, limits, breakers.
+//! Tests of sample depths, ranking, claims, leases, limits, breakers and probe scoring.
 
 use bilberry_core::Allowance;
 use bilberry_core::BLOCK_BYTES;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn depths_are_fine_where_the_prompt_ends() {
+fn sample_depths_are_dense_at_the_end_of_the_prompt() {
     assert_eq!(sample_depths(0), [] as [usize; 0]);
     assert_eq!(sample_depths(1), [1]);
     assert_eq!(sample_depths(12), [3, 6, 8, 9, 10, 11, 12]);
@@ -50,28 +50,35 @@
     })]
 
     #[test]
-    fn what_is_missing_is_known_within_a_third(len in 1_usize..2_000, held in 0_usize..2_000) {
+    fn the_missing_length_is_estimated_within_a_third(
+        len in 1_usize..2_000,
+        held in 0_usize..2_000,
+    ) {
         let held = held.min(len);
         let found = sample_depths(len).into_iter().rev().find(|depth| *depth <= held);
         let missing = len - held;
-        let told = len - found.unwrap_or(0);
-        prop_assert!(told >= missing);
-        prop_assert!(told as f64 <= missing as f64 * 1.5 + 1.0, "{told} for {missing}");
+        let estimated = len - found.unwrap_or(0);
+        prop_assert!(estimated >= missing);
+        let limit = missing as f64 * 1.5 + 1.0;
+        prop_assert!(estimated as f64 <= limit, "{estimated} for {missing}");
     }
 
     #[test]
-    fn the_loss_of_an_upstream_moves_only_its_own(hash in any::<u64>(), lost in 0_usize..9) {
+    fn the_loss_of_an_upstream_moves_only_its_own_hashes(
+        hash in any::<u64>(),
+        removed in 0_usize..9,
+    ) {
         let all = upstreams(9);
         let first = rendezvous(hash, &all, 1)[0];
-        let mut left = all.clone();
-        left.remove(lost);
-        let again = &left[rendezvous(hash, &left, 1)[0]].upstream;
-        prop_assert!(first == lost || *again == all[first].upstream);
+        let mut remaining = all.clone();
+        remaining.remove(removed);
+        let reassigned = &remaining[rendezvous(hash, &remaining, 1)[0]].upstream;
+        prop_assert!(first == removed || *reassigned == all[first].upstream);
     }
 }
 
 #[test]
-fn chains_differ_by_every_part_of_the_scope() {
+fn chains_of_different_scopes_share_no_hash() {
     let scope = |customer: &str, weights: &str| Scope {
         customer: customer.into(),
         model: "m".into(),
@@ -88,7 +95,7 @@
 }
 
 #[test]
-fn a_gap_of_events_makes_the_index_unsure_and_a_crash_empties_it() {
+fn an_event_gap_makes_the_index_unsure_and_a_restart_clears_it() {
     let mut index = CacheIndex::new();
     index.replace(1, 10, [7, 8]);
     let event = |incarnation, sequence, block| CacheEvent {
@@ -106,7 +113,7 @@
 }
 
 #[test]
-fn a_claim_is_judged_by_request_state_and_deadline() {
+fn the_verdict_on_a_claim_depends_on_request_state_and_deadline() {
     let claim = |state| Claim {
         attempt: "mine".to_string(),
         request_hash: "request".to_string(),
@@ -127,7 +134,7 @@
 }
 
 #[test]
-fn a_lease_is_renewed_waited_for_and_taken_over_quietly() {
+fn a_lease_is_renewed_awaited_and_taken_over_with_a_quiet_period() {
     let me = Name::from("me");
     let lease = |holder: &str, deadline| Lease {
         holder: holder.into(),
@@ -141,7 +148,7 @@
     assert!(matches!(step(Some(&lease("me", 120)), 100), LeaseStep::Write(_)));
     assert_eq!(step(Some(&lease("you", 120)), 100), LeaseStep::Wait(UnixMs(120)));
     let LeaseStep::Write(taken) = step(Some(&lease("you", 90)), 100) else {
-        panic!("an expired lease can be taken");
+        panic!("an expired lease can be taken over");
     };
     assert_eq!(taken.quiet_until, UnixMs(120));
     assert!(!taken.allows_order(UnixMs(110), 10));
@@ -150,7 +157,7 @@
 }
 
 #[test]
-fn slots_are_bounded_and_come_free_when_their_holder_vanishes() {
+fn slots_are_bounded_and_freed_by_expiry_or_release() {
     let take = |slots: &Slots, name: &str, now| {
         slots.take(&Name::from(name), 2, UnixMs(now), UnixMs(now + 50))
     };
@@ -158,13 +165,13 @@
     let two = take(&one, "b", 0).expect("a slot is free");
     assert_eq!(take(&two, "c", 10), None);
     assert!(take(&two, "a", 10).is_some(), "a holder keeps its slot");
-    assert!(take(&two, "c", 60).is_some(), "slots end with their deadlines");
+    assert!(take(&two, "c", 60).is_some(), "slots expire at their deadlines");
     let freed = two.release(&Name::from("a"), UnixMs(10));
     assert!(take(&freed, "c", 10).is_some());
 }
 
 #[test]
-fn rate_and_concurrency_are_shared_among_entries() {
+fn rate_and_concurrency_limits_are_divided_among_entries() {
     let allowance = Allowance::share(20.0, 4, 2);
     assert_eq!(allowance, Allowance { rate_per_s: 10.0, concurrency: 2 });
     let mut limits = CustomerLimits::default();
@@ -175,7 +182,7 @@
     assert_eq!(limits.enter(&name, allowance, now), Err(Overrun::Concurrency));
     for _ in 0..8 {
         limits.leave(&name);
-        limits.enter(&name, allowance, now).expect("the bucket holds ten");
+        limits.enter(&name, allowance, now).expect("the bucket holds ten tokens");
     }
     limits.leave(&name);
     let refused = limits.enter(&name, allowance, now);
@@ -184,7 +191,7 @@
 }
 
 #[test]
-fn retries_are_a_tenth_of_the_traffic() {
+fn retries_are_limited_to_a_tenth_of_the_traffic() {
     let mut budget = RetryBudget::new();
     while budget.spend() {}
     let retries = (0..1_000).filter(|_| {
@@ -195,14 +202,14 @@
 }
 
 #[test]
-fn refused_callers_come_back_over_one_to_two_waits() {
+fn retries_of_refused_callers_spread_over_one_to_two_waits() {
     assert_eq!(retry_after_ms(3_000, 0.0), 3_000);
     assert_eq!(retry_after_ms(3_000, 0.5), 4_500);
     assert_eq!(retry_after_ms(0, 0.0), 1_000);
 }
 
 #[test]
-fn a_breaker_lets_one_trial_pass_and_outlives_a_trial_that_vanishes() {
+fn a_half_open_breaker_admits_one_trial_and_replaces_an_abandoned_one() {
     let mut breaker = Breaker::new();
     for _ in 0..3 {
         assert!(breaker.admit(UnixMs(0)));
@@ -210,17 +217,18 @@
     }
     assert!(!breaker.admit(UnixMs(50)));
     assert!(breaker.admit(UnixMs(100)));
-    assert!(!breaker.admit(UnixMs(101)), "only one trial passes");
-    assert!(breaker.admit(UnixMs(10_000)), "a vanished trial is made up for");
+    assert!(!breaker.admit(UnixMs(101)), "only one trial is admitted");
+    assert!(breaker.admit(UnixMs(10_000)), "an abandoned trial is replaced");
     breaker.succeed();
     assert!(breaker.admit(UnixMs(10_000)));
 }
 
 #[test]
-fn a_late_answer_is_waited_for_while_recomputing_costs_more() {
-    // After a restart the holder of a long prefix answers its first probe late, as
-    // its link is just being opened; the others say at once that they hold
-    // nothing. Without patience the prompt is recomputed, with the holder idle.
+fn the_wait_for_late_probes_is_a_third_of_the_recompute_time() {
+    // After a restart, the upstream that has cached a long prefix responds late to its
+    // first probe because its connection is still being opened, while the others
+    // respond at once that they have nothing cached. Without waiting, the prompt would
+    // be recomputed while the upstream with the cached prefix is idle.
     let view = |held_blocks| ProbeView {
         upstream: "e0".into(),
         held_blocks,
@@ -229,7 +237,7 @@
         distance_ms: 2.0,
         is_ranked: true,
     };
-    // 60 blocks of 64 tokens at 40 us take 153.6 ms, a third of which is 51.2.
+    // 60 blocks of 64 tokens at 40 us take 153.6 ms, a third of which is 51.2 ms.
     assert_eq!(patience_ms(&[view(0), view(0)], 60, 50.0), 50.0);
     let half = patience_ms(&[view(0), view(30)], 60, 50.0);
     assert!((half - 25.6).abs() < 1e-6, "{half}");
@@ -238,17 +246,16 @@
 }
 
 #[test]
-fn a_prompt_goes_where_the_next_entry_asks_for_it() {
-    // Six engines are idle, and their learnt speeds differ a little, as on a busy
-    // machine. The entry asks those that the ranks name and, on the last seat, one
-    // by chance, which looks a little faster and gets the prompt. The next entry
-    // asks another one by chance, never meets the holder, and the caller pays for
-    // the whole prompt again.
+fn a_prompt_goes_to_an_upstream_that_every_entry_probes() {
+    // Six engines are idle and their measured speeds differ slightly, as on a busy
+    // machine. An entry probes the engines chosen by rank and a random idle one. If the
+    // random one appeared slightly faster and got the prompt, the next entry would
+    // probe a different random engine, miss the cached prefix and recompute it.
     let upstreams = upstreams(6);
     let weighing = Weighing { recompute_weight: 1.5 };
     for prompt in 0..100 {
         let chain = Chain::new(&format!("salt {prompt}"), &"x".repeat(15 * BLOCK_BYTES));
-        let asked_by = |entry| candidates(&chain, &upstreams, 1, 5, entry);
+        let probed_by = |entry| candidates(&chain, &upstreams, 1, 5, entry);
         for fastest in 0..upstreams.len() {
             let view = |seat: &Seat| ProbeView {
                 upstream: upstreams[seat.at].upstream.clone(),
@@ -259,23 +266,24 @@
                 is_ranked: seat.is_ranked,
             };
             for entry in 0..12 {
-                let asked = asked_by(entry);
-                let views: Vec<_> = asked.iter().map(view).collect();
-                let chosen = choose(&views, 15, weighing).expect("some are asked");
-                let holder = asked[chosen].at;
-                let is_asked = |seats: Vec<Seat>| seats.iter().any(|s| s.at == holder);
-                let meets = (0..12).all(|other| is_asked(asked_by(other)));
-                assert!(meets, "prompt {prompt} of entry {entry} is lost at {holder}");
+                let probed = probed_by(entry);
+                let views: Vec<_> = probed.iter().map(view).collect();
+                let chosen =
+                    choose(&views, 15, weighing).expect("some upstreams are probed");
+                let holder = probed[chosen].at;
+                let is_probed = |seats: Vec<Seat>| seats.iter().any(|s| s.at == holder);
+                let all_probe_it = (0..12).all(|other| is_probed(probed_by(other)));
+                assert!(all_probe_it, "prompt {prompt} of {entry} is missed at {holder}");
             }
         }
     }
 }
 
 #[test]
-fn a_prompt_goes_to_an_idle_upstream_when_its_own_are_busy() {
-    // All that the ranks lead to are busy for longer than it takes to compute the
-    // prompt, and the seat kept for the least loaded finds one that is idle.
-    // Were that never chosen, a burst on a few would queue beside idle engines.
+fn a_prompt_goes_to_an_idle_upstream_if_the_ranked_ones_are_busy() {
+    // All upstreams chosen by rank are busy for longer than the prompt takes to compute,
+    // and the probe reserved for the least loaded one finds an idle upstream. If it were
+    // never chosen, a burst of requests would queue while other engines are idle.
     let view = |wait_ms, held_blocks, is_ranked| ProbeView {
         upstream: "e0".into(),
         held_blocks,
@@ -289,7 +297,7 @@
     let chosen = |ranked, other| choose(&[ranked, other], 15, weighing);
     assert_eq!(chosen(view(50.0, 0, true), view(0.0, 0, false)), Some(1));
     assert_eq!(chosen(view(40.0, 0, true), view(0.0, 0, false)), Some(0));
-    // One that holds the prompt is as good as any, however it came to be asked.
+    // An upstream with the whole prompt cached is not penalized for being unranked.
     assert_eq!(chosen(view(5.0, 15, true), view(0.0, 15, false)), Some(1));
     assert_eq!(chosen(view(0.0, 0, true), view(40.0, 15, false)), Some(1));
 }
--- a/crates/bilberry-core/tests/forwarding.rs
+++ b/crates/bilberry-core/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! The decisions of an entry that forwards, each under the load it is meant for.
+//! Tests of the decisions of a forwarding entry under their intended loads.
 
 use bilberry_core::BootClock;
 use bilberry_core::BudgetTerms;
@@ -50,27 +50,27 @@
 }
 
 #[test]
-fn a_prompt_goes_where_it_is_held_until_too_much_waits_there() {
+fn a_prompt_goes_to_its_holder_until_the_backlog_is_too_long() {
     let mut offers = vec![offer(1), offer(2), offer(3)];
     offers[1].held_tokens = 6_300;
     assert_eq!(place(&demand(), &offers), Some(1));
-    // A long prompt is still being read there: another server fetches the parts.
+    // A long prompt is still being prefilled there, so another server fetches the parts.
     offers[1].pending_tokens = 9_000;
     assert_ne!(place(&demand(), &offers), Some(1));
 }
 
 #[test]
-fn entries_agree_on_the_home_of_a_prompt_that_nobody_holds() {
+fn entries_agree_on_the_server_for_an_uncached_prompt() {
     let offers: Vec<Offer> = (0..9).map(offer).collect();
-    let mut turned: Vec<Offer> = offers.clone();
-    turned.reverse();
+    let mut reversed: Vec<Offer> = offers.clone();
+    reversed.reverse();
     let seed = |offers: &[Offer]| place(&demand(), offers).map(|at| offers[at].seed);
-    assert_eq!(seed(&offers), seed(&turned));
-    // Different prompts spread over the servers.
-    let homes: std::collections::BTreeSet<_> = (0..200)
+    assert_eq!(seed(&offers), seed(&reversed));
+    // Different prompts are spread over all servers.
+    let chosen: std::collections::BTreeSet<_> = (0..200)
         .filter_map(|affinity| place(&Demand { affinity, ..demand() }, &offers))
         .collect();
-    assert_eq!(homes.len(), 9);
+    assert_eq!(chosen.len(), 9);
 }
 
 #[test]
@@ -82,16 +82,17 @@
         let demand = Demand { affinity, ..demand() };
         match place(&demand, &offers) {
             Some(4) => assert_ne!(place(&demand, &fewer), Some(4)),
-            home => assert_eq!(place(&demand, &fewer), home),
+            server => assert_eq!(place(&demand, &fewer), server),
         }
     }
 }
 
 #[test]
-fn the_first_servers_with_new_weights_are_preferred_but_not_crowded() {
-    // New weights are named while a third of the servers is lost: for seconds few
-    // have them. An answer on older ones loses a part of its worth, a late one
-    // nearly all, so the newest win only while they are not much busier.
+fn the_first_servers_with_new_weights_are_preferred_but_not_overloaded() {
+    // New weights are announced while a third of the servers is down, so for seconds
+    // only few servers have them. An answer from older weights loses part of its value, a
+    // late one nearly all, so servers with the newest weights win only while they are not
+    // much busier.
     let mut offers = vec![offer(1), offer(2), offer(3)];
     offers[0].weights = Weights::Penalized;
     offers[1].weights = Weights::Penalized;
@@ -104,12 +105,11 @@
 }
 
 #[test]
-fn a_long_answer_goes_where_no_load_of_weights_cuts_it() {
-    // New weights are named every few seconds and the engines load in waves. What
-    // an answer generates past the load is worth nothing to its caller. Short
-    // answers end before it and stay with the engine that holds their prompt; as
-    // long as the others have room, long ones go to those that load later, or that
-    // have loaded.
+fn a_long_answer_avoids_servers_about_to_load_weights() {
+    // New weights are announced every few seconds and the engines load them in waves.
+    // Tokens generated past the load are worthless to the caller. Short answers end
+    // before the load and stay on the engine that has their prompt cached. While other
+    // engines have capacity, long answers go to those that load later or have loaded.
     let mut offers = vec![offer(1), offer(2), offer(3)];
     offers[0].held_tokens = 6_300;
     offers[0].loads_in_ms = Some(200);
@@ -120,15 +120,15 @@
     assert_eq!(place(&long, &offers), Some(2));
     offers[2].pending_tokens = 20_000;
     assert_eq!(place(&long, &offers), Some(1));
-    // Where all others are far behind, late in part is better than late in full.
+    // If all others have long backlogs, a partly late answer beats an entirely late one.
     offers[1].pending_tokens = 30_000;
     assert_eq!(place(&long, &offers), Some(0));
 }
 
 #[test]
-fn nothing_begins_on_older_weights_past_their_bound() {
-    // A server that does not load, for whatever reason, gets no more work, even
-    // where no other has room: what it answers no longer counts.
+fn no_request_starts_on_older_weights_past_their_bound() {
+    // A server that fails to load new weights gets no more work, even if no other server
+    // has capacity, because its answers have no value.
     let mut offers = vec![offer(1), offer(2)];
     offers[0].weights = Weights::Barred;
     offers[1].free_slots = 0;
@@ -142,9 +142,9 @@
 }
 
 #[test]
-fn nothing_is_placed_where_memory_would_run_out() {
-    // Memory binds before slots: a dozen long prompts fill a server. One more
-    // would be preempted in the middle of its answer.
+fn no_request_is_placed_where_memory_would_run_out() {
+    // Memory runs out before slots: a dozen long prompts fill a server. Another request
+    // would be preempted during its answer.
     let mut offers = vec![offer(1), offer(2)];
     offers[0].free_tokens = 9_000;
     offers[1].free_tokens = 9_300;
@@ -154,17 +154,17 @@
 }
 
 #[test]
-fn a_prompt_is_fetched_from_whoever_supplies_its_deeper_levels() {
-    // Every engine holds the style notes, few hold the brief below them. Under
-    // load the engine with the brief is full, and the one that is chosen holds
-    // neither. Fetched from a peer with the style notes alone, the brief would be
-    // read again although the store has it.
+fn a_prompt_is_fetched_from_a_source_of_its_deeper_levels() {
+    // Every engine has cached the first prompt level, the style notes, and few the second
+    // one, the brief. Under load the engine with the brief is full, and the chosen engine
+    // has neither. If it fetched from a peer with only the style notes, the brief would
+    // be prefilled again although the store has it.
     let peer = |held_tokens, same_place| PeerCopy { held_tokens, same_place };
     let notes = [peer(2_520, true), peer(2_520, false)];
     assert_eq!(choose_source(0, &notes, Some(6_300)), Some(Source::Store));
     assert_eq!(choose_source(0, &notes, Some(2_520)), Some(Source::Peer(0)));
     assert_eq!(choose_source(2_520, &notes, Some(0)), Some(Source::Store));
-    // A peer with all of it goes before the store, whose link is everybody's.
+    // A peer with the whole prompt is preferred to the store, whose link is shared.
     let both = [peer(2_520, true), peer(6_300, false)];
     assert_eq!(choose_source(0, &both, Some(6_300)), Some(Source::Peer(1)));
     assert_eq!(choose_source(0, &both, None), Some(Source::Peer(1)));
@@ -172,10 +172,11 @@
 }
 
 #[test]
-fn entries_together_ask_no_more_of_the_stores_link_than_it_carries() {
-    // The prompts in use fill the store, and four entries each ask for 60 prompts
-    // of 5,000 tokens a second, between data centres: 2.4 million tokens' worth of a
-    // link that carries 234,000. What exceeds the share is read in place of waiting.
+fn entries_together_stay_within_the_bandwidth_of_the_store_link() {
+    // The active prompts fill the store, and four entries each request 60 prompts of
+    // 5,000 tokens per second between data centres. That costs 2.4 million tokens per
+    // second on a link that carries 234,000. Prompts beyond the share are prefilled
+    // instead of waiting.
     let prompt = Transfer { tokens: 5_000, same_place: false };
     let mut moved_tokens = 0;
     for _ in 0..4 {
@@ -189,7 +190,7 @@
     }
     let ten_s = 2_340_000.0;
     assert!((0.9..1.15).contains(&(moved_tokens as f64 / ten_s)), "{moved_tokens}");
-    // One that moves nothing is never held back, nor the first after a rest.
+    // Empty transfers are never refused, nor is the first transfer after an idle period.
     let mut share = LinkShare::default();
     let nothing = Transfer { tokens: 0, same_place: true };
     assert!(share.take(UnixMs(5_000), prompt, 1_000.0, None));
@@ -198,11 +199,12 @@
 }
 
 #[test]
-fn callers_return_later_the_longer_nothing_lives() {
+fn retry_advice_grows_with_the_length_of_an_outage() {
     // All engines of a service lose power for sixteen seconds. A caller that waits
-    // fifteen seconds comes back once. Refused in the first second it returns soon, as
-    // a crash may be over; refused later it returns as late as callers follow advice,
-    // a third of its time, so that those refused in the last seconds are still served.
+    // fifteen seconds retries once. Callers refused in the first second are told to retry
+    // soon, because a crash may be over quickly. Callers refused later are told to retry
+    // after a third of their time, the longest advice that callers follow, so that those
+    // refused in the last seconds are still served.
     let mut outage = Outage::default();
     let at = |ms: u64| UnixMs(1_000_000 + ms);
     assert_eq!(outage.come_back_ms(at(0), 15_000), None);
@@ -212,10 +214,10 @@
     assert_eq!(outage.come_back_ms(at(500), 15_000), Some((400, 500)));
     outage.note(at(9_000), false);
     assert_eq!(outage.come_back_ms(at(9_000), 15_000), Some((3_840, 4_800)));
-    // A caller with less time, or with none, is not sent past its end.
+    // A caller with little or no time left is not told to retry after its deadline.
     assert_eq!(outage.come_back_ms(at(9_000), 5_000), Some((1_280, 1_600)));
     assert_eq!(outage.come_back_ms(at(9_000), 0), Some((80, 100)));
-    // The first upstream that lives ends it, and the next outage starts anew.
+    // The first live upstream ends the outage; a later outage starts from zero.
     outage.note(at(16_000), true);
     assert_eq!(outage.come_back_ms(at(16_000), 15_000), None);
     outage.note(at(20_000), false);
@@ -223,7 +225,7 @@
 }
 
 #[test]
-fn parts_are_kept_apart_by_weights_and_wall() {
+fn part_keys_differ_by_weights_and_scope() {
     let keys = [
         part_key("shared/m/1", 5),
         part_key("shared/m/2", 5),
@@ -237,10 +239,10 @@
 const TERMS: BudgetTerms = BudgetTerms { ratio: 0.2, slack: 50.0, window_ms: 10_000 };
 
 proptest! {
-    /// However requests fall on entries, their repeats together stay within the
-    /// one budget in every window: each entry knows only its own requests.
+    /// However requests are distributed over entries, their combined retries stay within
+    /// the budget in every window, although each entry counts only its own requests.
     #[test]
-    fn entries_together_never_overdraw_the_budget(
+    fn entries_together_never_exceed_the_budget(
         entries in 1_usize..40,
         arrivals in proptest::collection::vec((0_usize..40, 0_u64..40), 1..600),
     ) {
@@ -265,9 +267,9 @@
         }
     }
 
-    /// Wherever a connection splits the bytes, the same events come out, whole.
+    /// The same complete events result wherever the connection splits the bytes.
     #[test]
-    fn events_come_out_whole_however_the_bytes_are_split(
+    fn events_are_complete_however_the_bytes_are_split(
         cuts in proptest::collection::vec(1_usize..9, 0..80),
     ) {
         let text: String =
@@ -290,9 +292,9 @@
 }
 
 #[test]
-fn a_starting_entry_is_thrifty_until_it_knows_how_many_there_are() {
-    // A herd of entries restarts into full load. Each of them would have the
-    // whole fixed part to itself if it took itself for the only one.
+fn a_starting_entry_takes_a_small_share_until_the_count_is_known() {
+    // Many entries restart together under full load. Each would use the whole fixed part
+    // of the budget if it assumed that it is the only entry.
     let spent = |entries, repeat| {
         let mut budget = SharedBudget::new(TERMS);
         (0..100).filter(|_| budget.spend(UnixMs(5_000), entries, repeat)).count()
@@ -303,94 +305,94 @@
 }
 
 #[test]
-fn streams_go_on_after_a_third_crash_beside_full_engines() {
-    // One entry, ten requests a second. Engines crash at seconds 4, 7.5 and 11, each
-    // with ten streams of this entry; in between every request is offered twice, as
-    // engines are full. Callers of the later crashes lost their streams, because what
-    // had not begun had used up the repeats.
+fn streams_resume_after_a_third_crash_while_engines_are_full() {
+    // One entry gets ten requests per second. Engines crash at 4, 7.5 and 11 s, each with
+    // ten streams of this entry. After the first crash, every request needs a second
+    // attempt because engines are full. Callers affected by the later crashes lost their
+    // streams, because requests that had not started had used up the retries.
     let terms = BudgetTerms { slack: 20.0, ..TERMS };
     let mut budget = SharedBudget::new(terms);
-    let mut went_on = 0;
+    let mut resumed = 0;
     for at_ms in (0..11_100).step_by(100) {
         let now = UnixMs(1_000_000 + at_ms);
         budget.count_request(now);
         if matches!(at_ms, 4_000 | 7_500 | 11_000) {
             let spend = |_: &i32| budget.spend(now, Some(1), Repeat::GoOn);
-            went_on += (0..10).filter(spend).count();
+            resumed += (0..10).filter(spend).count();
         }
         if at_ms >= 4_000 {
             budget.spend(now, Some(1), Repeat::Anew);
         }
     }
-    assert!(went_on >= 18, "{went_on} of 30 streams went on");
+    assert!(resumed >= 18, "{resumed} of 30 streams resumed");
 }
 
 #[test]
-fn entries_overdraw_nothing_while_sidecars_end_and_start_together() {
-    // Four entries share what they may repeat. All sidecars end, and requests fail
-    // over: the number of entries is kept. Then all sidecars start, and each has heard
-    // of one entry when it first speaks; entries that took themselves for the only one
-    // would each spend the whole. Entries that really leave count out after seconds.
+fn entries_stay_within_budget_while_all_sidecars_restart() {
+    // Four entries share a retry budget. All sidecars stop and requests fail over, while
+    // the entry count is kept. Then all sidecars start, and each knows only one entry
+    // when it first reports. If entries adopted that count, each would spend the whole
+    // budget. Entries that really leave stop counting after some seconds.
     let mut entries = EntryCount::default();
-    let hear = |entries: &mut EntryCount, at_ms: u64, told| {
-        entries.hear(UnixMs(1_000_000 + at_ms), told);
+    let report = |entries: &mut EntryCount, at_ms: u64, count| {
+        entries.hear(UnixMs(1_000_000 + at_ms), count);
         entries.get()
     };
     assert_eq!(entries.get(), None);
-    assert_eq!(hear(&mut entries, 100, 1), Some(1));
-    assert_eq!(hear(&mut entries, 300, 4), Some(4));
-    // Twice, sixteen seconds apart, sidecars start together.
-    assert_eq!(hear(&mut entries, 21_000, 1), Some(4));
-    assert_eq!(hear(&mut entries, 37_000, 1), Some(4));
-    assert_eq!(hear(&mut entries, 37_200, 4), Some(4));
-    // One sidecar is not reached by all entries; the others tell the whole number.
+    assert_eq!(report(&mut entries, 100, 1), Some(1));
+    assert_eq!(report(&mut entries, 300, 4), Some(4));
+    // All sidecars start together twice, sixteen seconds apart.
+    assert_eq!(report(&mut entries, 21_000, 1), Some(4));
+    assert_eq!(report(&mut entries, 37_000, 1), Some(4));
+    assert_eq!(report(&mut entries, 37_200, 4), Some(4));
+    // One sidecar is not reached by all entries, while the others report the full count.
     for at_ms in (40_000..50_000).step_by(500) {
-        assert_eq!(hear(&mut entries, at_ms, 3), Some(4));
-        assert_eq!(hear(&mut entries, at_ms + 100, 4), Some(4));
+        assert_eq!(report(&mut entries, at_ms, 3), Some(4));
+        assert_eq!(report(&mut entries, at_ms + 100, 4), Some(4));
     }
     // An entry leaves.
     for at_ms in (50_000..53_000).step_by(500) {
-        assert_eq!(hear(&mut entries, at_ms, 3), Some(4));
+        assert_eq!(report(&mut entries, at_ms, 3), Some(4));
     }
-    assert_eq!(hear(&mut entries, 53_000, 3), Some(3));
-    assert_eq!(hear(&mut entries, 53_100, 5), Some(5));
+    assert_eq!(report(&mut entries, 53_000, 3), Some(3));
+    assert_eq!(report(&mut entries, 53_100, 5), Some(5));
 }
 
 #[test]
-fn a_half_event_is_held_back_and_dropped() {
+fn a_partial_event_is_buffered_and_dropped() {
     let mut splitter = EventSplitter::new();
     assert!(splitter.push(b"id: 1\ndata: a\n\nid: 2\nda").is_some());
     assert!(!splitter.is_at_boundary());
     assert_eq!(splitter.last_id(), Some(1));
     splitter.drop_partial();
-    // The next server starts over with the event that was cut.
-    let events = splitter.push(b"id: 2\ndata: b\n\n").expect("a whole event");
+    // The replacement server repeats the event that was cut off.
+    let events = splitter.push(b"id: 2\ndata: b\n\n").expect("the event is complete");
     assert_eq!(&events[..], b"id: 2\ndata: b\n\n");
 }
 
 #[test]
-fn a_late_answer_confirms_the_moment_of_its_question() {
-    // The answer was held up by a cut link for six seconds. It says what was so
-    // when it was asked for, not now.
+fn a_late_response_confirms_the_state_at_its_request() {
+    // A link failure delayed the response by six seconds. It confirms the state at the
+    // time of the request, not the current state.
     let mut fresh = Freshness::default();
     fresh.confirm_read(UnixMs(1_000));
     assert!(fresh.holds(UnixMs(5_900), 4_950));
     assert!(!fresh.holds(UnixMs(5_950), 4_950));
-    // A watch that brought nothing in its 1.5 s confirms their end, however
-    // late the answer arrives; one that came back early, the moment it came.
+    // A watch without changes confirms the state at the end of its 1.5 s, however late
+    // the response arrives, or at its arrival if it returned early.
     fresh.confirm_quiet(UnixMs(10_000), 1_500, UnixMs(16_000));
     assert_eq!(fresh.confirmed_at(), UnixMs(11_500));
     fresh.confirm_quiet(UnixMs(16_000), 1_500, UnixMs(16_200));
     assert_eq!(fresh.confirmed_at(), UnixMs(16_200));
-    // An answer that was overtaken takes nothing back.
+    // A response that arrives out of order does not move the confirmed time back.
     fresh.confirm_read(UnixMs(12_000));
     assert_eq!(fresh.confirmed_at(), UnixMs(16_200));
 }
 
 #[test]
-fn weights_are_taken_in_waves_that_need_no_message() {
-    // Nine servers, weights named at 1,000: two at a time, each wave after the
-    // last one's load, whatever becomes of a server in between.
+fn weights_are_loaded_in_waves_without_messages() {
+    // Nine servers load weights announced at 1,000 ms, two at a time. Each wave starts
+    // after the load time of the previous one, whatever happens to individual servers.
     let rollout = Rollout::new(None);
     let starts = |down| -> Vec<u64> {
         let place = |position| RolloutPlace { position, servers: 9, down };
@@ -402,12 +404,12 @@
         starts(0),
         [1_000, 1_000, 1_530, 1_530, 2_060, 2_060, 2_590, 2_590, 3_120]
     );
-    // A third of them is lost: one at a time, so that the rest can bear the load.
+    // With a third of the servers down, they load one at a time to keep enough capacity.
     assert_eq!(starts(3)[..3], [1_000, 1_530, 2_060]);
 }
 
 #[test]
-fn a_server_lacks_weights_since_the_first_naming_that_it_missed() {
+fn a_server_is_outdated_since_the_first_announcement_it_missed() {
     let mut named = NamedWeights::default();
     assert_eq!((named.newest(), named.lacking_since(0)), (None, None));
     for (version, at) in [(7, 100), (8, 4_500), (10, 13_300)] {
@@ -417,20 +419,20 @@
     let since = [6, 7, 8, 9, 10].map(|version| named.lacking_since(version));
     let at = |ms| Some(UnixMs(ms));
     assert_eq!(since, [at(100), at(4_500), at(13_300), at(13_300), None]);
-    // Heard again later, or late: a version was named before any newer one.
+    // Repeated or late reports: a version was announced before any newer one.
     assert!(!named.note(8, UnixMs(20_000)));
     assert!(named.note(9, UnixMs(20_000)));
     assert_eq!(named.lacking_since(8), at(13_300));
-    // Read anew with an earlier time: when it was first heard of counts.
+    // A repeated report with an earlier time does not replace the first one.
     assert!(!named.note(10, UnixMs(4_000)));
     assert_eq!(named.lacking_since(9), at(13_300));
 }
 
 #[test]
-fn the_oldest_of_very_many_versions_lose_no_time() {
-    // Weights named five times a second for a quarter of a minute: a server that has
-    // none of them has lacked some since the first, and one that is asked about
-    // versions older than all that are remembered makes none of them new.
+fn merging_the_oldest_versions_keeps_the_earliest_time() {
+    // Weights are announced five times a second for about 15 s. A server with none of
+    // them has been outdated since the first announcement, and a version older than all
+    // remembered ones is not recorded again as new.
     let mut named = NamedWeights::default();
     for version in 10..90 {
         assert!(named.note(version, UnixMs(version * 200)));
@@ -441,10 +443,10 @@
 }
 
 #[test]
-fn namings_in_a_row_give_older_weights_no_more_time() {
-    // New weights are named every 4.4 s, nothing may begin on older ones after 8 s.
-    // A server that has missed one naming is barred in time, however often newer
-    // weights are named meanwhile; one that took the last but one is not.
+fn repeated_announcements_do_not_extend_the_use_of_older_weights() {
+    // New weights are announced every 4.4 s and no request may start on older ones after
+    // 8 s. A server that has missed an announcement is excluded in time, however many
+    // announcements follow; a server with the second newest weights is not excluded.
     let mut named = NamedWeights::default();
     for version in 8..=10 {
         named.note(version, UnixMs(58_523 + (version - 8) * 4_400));
@@ -460,7 +462,7 @@
 
 proptest! {
     #[test]
-    fn who_is_further_behind_has_lacked_weights_for_longer(
+    fn older_versions_have_been_outdated_for_longer(
         heard in prop::collection::vec((1_u64..40, 0_u64..100_000), 1..60),
     ) {
         let mut named = NamedWeights::default();
@@ -475,10 +477,10 @@
 }
 
 #[test]
-fn a_rollout_ends_within_half_the_bound_whoever_is_down() {
-    // Callers are refused for seconds: a third of the engines is down as weights are
-    // named, the rest took turns one by one, and most were barred for older weights
-    // before their turn. 44 servers of which 15 are down, half a second for a load.
+fn the_last_wave_starts_within_half_the_bound_if_servers_are_down() {
+    // A third of the engines is down when weights are announced. The others loaded one
+    // at a time, and most were excluded for older weights before their turn, so callers
+    // were refused for seconds. 15 of 44 servers are down and a load takes half a second.
     let last = |bound_ms| {
         let rollout = Rollout::new(bound_ms);
         let place = |position| RolloutPlace { position, servers: 44, down: 15 };
@@ -491,7 +493,7 @@
 }
 
 #[test]
-fn a_straggling_load_does_not_delay_all_later_waves() {
+fn a_slow_load_does_not_delay_all_later_waves() {
     let mut rollout = Rollout::new(None);
     rollout.measure(60_000);
     let place = RolloutPlace { position: 2, servers: 9, down: 0 };
@@ -499,9 +501,10 @@
 }
 
 #[test]
-fn a_load_waits_for_what_waits_at_its_server_but_not_for_ever() {
-    // A load throws back what has not begun. What waits is worked off first; a server
-    // that never gets done with it would keep older weights past their bound.
+fn a_load_waits_for_the_queue_to_drain_for_a_limited_time() {
+    // A load rejects queued requests, so the queue is drained first. The drain time is
+    // limited, because a server with a queue that never empties would keep older weights
+    // past their bound.
     let turn_at = UnixMs(5_000);
     assert!(may_begin_load(turn_at, 0, turn_at));
     assert!(!may_begin_load(turn_at, 1, turn_at));
@@ -510,7 +513,7 @@
 }
 
 #[test]
-fn the_boot_clock_never_goes_back() {
+fn the_boot_clock_is_monotonic() {
     let clock = BootClock::new();
     let times: Vec<UnixMs> = (0..1_000).map(|_| clock.now()).collect();
     assert!(times.is_sorted());
--- a/crates/bilberry-core/tests/queue.rs
+++ b/crates/bilberry-core/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Weighted fair queueing: shares, bounds and displaced items.
+//! Tests of weighted fair queueing: shares, limits and displaced items.
 
 use bilberry_core::FairQueue;
 use bilberry_core::Name;
@@ -11,9 +11,9 @@
 }
 
 #[test]
-fn a_long_line_does_not_delay_a_short_one() {
-    // One customer has a hundred requests waiting when another sends its first.
-    // Served in order of arrival, the second would wait for all of them.
+fn a_long_backlog_does_not_delay_another_customer() {
+    // One customer has a hundred requests queued when another sends its first one. In
+    // order of arrival, the second customer would wait for all of them.
     let mut queue = FairQueue::new(1_000);
     for item in 0..100 {
         push(&mut queue, "hog", 1, 10, item);
@@ -23,13 +23,14 @@
     }
     push(&mut queue, "victim", 1, 10, 1_000);
     let waited = (0..).take_while(|_| queue.pop() != Some(1_000)).count();
-    assert!(waited <= 1, "{waited} were served before");
+    assert!(waited <= 1, "{waited} items were served before");
 }
 
 #[test]
-fn a_customer_that_was_idle_gets_no_credit() {
-    // The first is served alone for long; the second comes then. Were idle time
-    // saved up, the second could keep the first out until both are even.
+fn an_idle_customer_accrues_no_credit() {
+    // One customer is served alone before a second one arrives. If idle time earned
+    // credit, the second customer would block the first until both had been served
+    // equally.
     let mut queue = FairQueue::new(1_000);
     for item in 0..200 {
         push(&mut queue, "steady", 1, 1, item);
@@ -45,9 +46,9 @@
 }
 
 #[test]
-fn a_full_queue_gives_way_to_who_is_short_of_its_share() {
-    // One customer fills the queue. Another one's first request takes the place
-    // of the first one's latest, which is refused.
+fn a_full_queue_admits_a_customer_below_its_share() {
+    // One customer fills the queue. The first request of another customer displaces the
+    // latest request of the first, and the first cannot queue more.
     let mut queue = FairQueue::new(10);
     for item in 0..10 {
         push(&mut queue, "hog", 1, 1, item);
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn a_higher_priority_goes_first() {
+fn a_higher_priority_is_served_first() {
     let mut queue = FairQueue::new(10);
     let name = Name::from("anna");
     queue.push(&name, 1, 0, 1, 1);
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn idle_customers_are_forgotten() {
+fn accounts_of_idle_customers_are_removed() {
     let mut queue = FairQueue::new(100_000);
     for customer in 0..10_000 {
         push(&mut queue, &format!("customer {customer}"), 1, 1, customer);
@@ -80,7 +81,7 @@
     queue.pop();
     queue.pop();
     queue.forget_idle();
-    assert!(queue.account_count() <= 1, "{} are kept", queue.account_count());
+    assert!(queue.account_count() <= 1, "{} accounts are kept", queue.account_count());
 }
 
 proptest! {
@@ -90,11 +91,11 @@
     })]
 
     #[test]
-    fn backlogged_customers_are_served_by_weight(
+    fn backlogged_customers_are_served_in_proportion_to_weight(
         weights in prop::collection::vec(1_u64..8, 2..5),
         costs in prop::collection::vec(1_u64..50, 1..20),
     ) {
-        // All customers always have something waiting, of the same mixed costs.
+        // All customers always have items queued, with the same mix of costs.
         let mut queue = FairQueue::new(100_000);
         for (customer, weight) in weights.iter().enumerate() {
             for cost in costs.iter().cycle().take(600) {
@@ -104,16 +105,16 @@
         }
         let mut served = vec![0_u64; weights.len()];
         for _ in 0..400 {
-            let item = queue.pop().expect("something waits") as usize;
+            let item = queue.pop().expect("the queue is not empty") as usize;
             served[item / 1_000] += (item % 1_000) as u64;
         }
         let total: u64 = served.iter().sum();
-        let all: u64 = weights.iter().sum();
+        let total_weight: u64 = weights.iter().sum();
         for (served, weight) in served.iter().zip(&weights) {
-            let wanted = total as f64 * *weight as f64 / all as f64;
-            let off = (*served as f64 - wanted).abs();
-            // The error of start-time fair queueing is bounded by one item each.
-            prop_assert!(off <= 120.0, "served {served}, wanted {wanted}");
+            let expected = total as f64 * *weight as f64 / total_weight as f64;
+            let deviation = (*served as f64 - expected).abs();
+            // Start-time fair queueing errs by at most one item per customer.
+            prop_assert!(deviation <= 120.0, "served {served}, expected {expected}");
         }
     }
 }
--- a/crates/bilberry-core/tests/readings.rs
+++ b/crates/bilberry-core/tests/readings.rs
@@ -1,4 +1,4 @@
-//! Shared parts that are read at this moment.
+//! Tests of the record of shared prompt parts being prefilled.
 
 use bilberry_core::Reading;
 use bilberry_core::Readings;
@@ -9,10 +9,10 @@
 }
 
 #[test]
-fn the_first_reader_of_a_part_is_the_one_that_is_waited_for() {
-    // Two entries send requests for one cold part at the same moment, and each tells
-    // the others. Were the later word taken, a third request would wait for the
-    // reading that ends last.
+fn requests_wait_for_the_first_prefill_of_a_part() {
+    // Two entries send requests for the same uncached part at the same time, and each
+    // informs the others. If the later message replaced the earlier one, a third request
+    // would wait for the prefill that ends last.
     let mut readings = Readings::default();
     readings.begin(7, reading("engine-0", 100), UnixMs(0));
     readings.begin(7, reading("engine-1", 160), UnixMs(5));
@@ -23,21 +23,21 @@
 }
 
 #[test]
-fn a_reading_that_should_be_over_is_waited_for_no_longer() {
-    // The engine that reads a part crashes, and nobody says that the reading is over.
+fn requests_do_not_wait_for_an_overdue_prefill() {
+    // The engine that prefills a part crashes, so no end of the prefill is reported.
     let mut readings = Readings::default();
     readings.begin(7, reading("engine-0", 100), UnixMs(0));
     assert!(readings.of(7, UnixMs(99)).is_some());
     assert_eq!(readings.of(7, UnixMs(100)), None);
-    // The next request reads it, and is waited for in its turn.
+    // The next request prefills the part, and later ones wait for it.
     readings.begin(7, reading("engine-1", 220), UnixMs(120));
     assert_eq!(readings.of(7, UnixMs(150)), Some(&reading("engine-1", 220)));
 }
 
 #[test]
-fn a_reading_far_behind_is_not_waited_for() {
-    // The engine that reads a part has much to read before. The caller of the next
-    // request would wait longer than its own engine takes.
+fn requests_do_not_wait_behind_a_long_backlog() {
+    // The engine that prefills a part has a long backlog. Waiting for it would take the
+    // next request longer than a prefill by its own engine.
     let mut readings = Readings::default();
     readings.begin(7, reading("engine-0", 500), UnixMs(0));
     assert_eq!(readings.worth_awaiting(7, 60, UnixMs(0)), None);
--- a/crates/bilberry-core/tests/run_end.rs
+++ b/crates/bilberry-core/tests/run_end.rs
@@ -1,4 +1,4 @@
-//! When a silent run may be taken for over.
+//! Tests of when an unresponsive run is considered ended.
 
 use bilberry_core::Reach;
 use bilberry_core::Reaching;
@@ -11,39 +11,39 @@
 
 fn reaches() -> impl Strategy<Value = Vec<(Reach, SidecarStatus)>> {
     let reach = prop_oneof![Just(Reach::Taken), Just(Reach::Silent)];
-    let word = prop_oneof![
+    let status = prop_oneof![
         Just(SidecarStatus::Up),
         Just(SidecarStatus::Down),
         Just(SidecarStatus::Silent)
     ];
-    proptest::collection::vec((reach, word), 0..40)
+    proptest::collection::vec((reach, status), 0..40)
 }
 
 proptest! {
-    // A host that stands still takes connections, and whoever stood beside it may say
-    // anything. Whatever is silent for however long, a run there is never over as long as
-    // one of any three connections in a row is taken.
+    // A paused host still accepts connections, and the sidecar reports may be arbitrary.
+    // No period of silence ends a run as long as one of any three consecutive connection
+    // attempts is accepted.
     #[test]
-    fn a_host_that_takes_connections_never_ends_a_run(reaches in reaches()) {
+    fn a_host_that_accepts_connections_never_ends_a_run(reaches in reaches()) {
         let mut reaching = Reaching::default();
-        let mut last_taken = 0;
-        for (at, (reach, word)) in reaches.into_iter().enumerate() {
+        let mut last_accepted = 0;
+        for (at, (reach, status)) in reaches.into_iter().enumerate() {
             if reach == Reach::Taken {
-                last_taken = at + 1;
+                last_accepted = at + 1;
             }
-            if let Some(end) = reaching.note(reach, word, false) {
+            if let Some(end) = reaching.note(reach, status, false) {
                 assert_eq!(end, RunEnd::Unreachable);
-                assert!(at + 1 - last_taken >= 3);
-                assert!(word != SidecarStatus::Up);
+                assert!(at + 1 - last_accepted >= 3);
+                assert!(status != SidecarStatus::Up);
             }
         }
     }
 }
 
 #[test]
-fn an_engine_that_nobody_reaches_is_out_of_reach() {
-    // The host lost its power: the stream's connection was given up as nothing was
-    // acknowledged, no new one is answered and its sidecar is silent.
+fn a_host_without_any_response_is_unreachable() {
+    // The host lost power: the stream's connection timed out without acknowledgements,
+    // new connections get no response and the sidecar is silent.
     let mut reaching = Reaching::default();
     let ends: Vec<_> = (0..3)
         .map(|_| reaching.note(Reach::Silent, SidecarStatus::Silent, false))
@@ -52,28 +52,29 @@
 }
 
 #[test]
-fn a_port_on_which_nothing_listens_ends_a_run_at_once() {
+fn a_refused_connection_ends_a_run_immediately() {
     let mut reaching = Reaching::default();
     let end = reaching.note(Reach::Refused, SidecarStatus::Silent, false);
     assert_eq!(end, Some(RunEnd::Refused));
 }
 
 #[test]
-fn no_new_connection_ends_a_run_whose_stream_is_open() {
-    // Something on the way refuses connections, the engine takes no new ones as it
-    // leaves, or its queue of them is full, and it works on. The stream's connection is
-    // open, so its host is there, whatever is heard of the sidecar.
+fn no_connection_attempt_ends_a_run_whose_stream_is_open() {
+    // A network device refuses connections, the engine accepts no new ones while leaving,
+    // or its accept queue is full, but the engine keeps working. The open connection of
+    // the stream shows that the host is up, whatever the sidecar reports.
     let mut reaching = Reaching::default();
-    for word in [SidecarStatus::Up, SidecarStatus::Down, SidecarStatus::Silent] {
-        assert_eq!(reaching.note(Reach::Refused, word, true), None);
-        let silent = (0..9).filter_map(|_| reaching.note(Reach::Silent, word, true));
+    for status in [SidecarStatus::Up, SidecarStatus::Down, SidecarStatus::Silent] {
+        assert_eq!(reaching.note(Reach::Refused, status, true), None);
+        let silent = (0..9).filter_map(|_| reaching.note(Reach::Silent, status, true));
         assert_eq!(silent.count(), 0);
     }
 }
 
 #[test]
-fn an_engine_that_its_sidecar_hears_is_not_out_of_reach() {
-    // The connection was lost between entry and engine, and new ones get no sign either.
+fn an_engine_reported_up_by_its_sidecar_is_not_unreachable() {
+    // The link between entry and engine failed, so new connections get no response
+    // either.
     let mut reaching = Reaching::default();
     let ends =
         (0..9).filter_map(|_| reaching.note(Reach::Silent, SidecarStatus::Up, false));
