--- a/crates/bilberry-core/src/crash_ledger.rs
+++ b/crates/bilberry-core/src/crash_ledger.rs
@@ -1,17 +1,18 @@
-//! Which requests were running at servers when these crashed.
+//! Attributes server crashes to the requests that were running at the time.
 //!
-//! The load pattern: a request crashes each server that begins to run it, and comes again at
-//! any entry under a new attempt id. Judged by one entry or one attempt alone it takes the
-//! servers of a service one after the other, with all that runs there.
+//! A request may crash every server that starts to run it, and be retried at any entry
+//! under a new attempt id. If each entry or attempt is considered on its own, such a
+//! request takes down the servers of a service one after the other, along with everything
+//! else that runs there.
 //!
-//! A crash also cuts requests that have nothing to do with it. A request that has run to its
-//! end did not cause the crashes known by then, so these are void for it. And a crash has one
-//! cause: those of the request with the most crashes count against no other. If several have
-//! equally many, the one with the shortest mean run time is blamed, because the cause
-//! runs on a server only until the crash, while others may have run there for longer.
+//! A crash also interrupts unrelated requests. A request that has completed did not cause
+//! the crashes known by then, so these are voided for it. Each crash has a single cause:
+//! the crashes of the request with the most crashes count against no other request. Ties
+//! are broken by the shortest mean run time, because the cause runs on a server only
+//! until the crash, while other requests may have run there for longer.
 //!
-//! Reports form a set that only grows, from unknown over counted to void, so they may be
-//! merged in any order, repeated and relayed by anybody.
+//! Reports form a grow-only set in which each report moves from unknown to counted to
+//! void. They can therefore be merged in any order, repeated, and relayed by any process.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -20,76 +21,79 @@
 use crate::RequestKey;
 use crate::UnixMs;
 
-/// After how many crashes a request runs alone and is sent once an attempt.
+/// The number of crashes from which a request is sent only once per attempt, to the least
+/// loaded server.
 const SUSPECT_AFTER: usize = 2;
 
-/// After how many crashes a request is rejected.
+/// The number of crashes from which a request is rejected.
 const QUARANTINE_AFTER: usize = 3;
 
-/// How long after the last crash of a request its quarantine takes effect.
+/// The delay from a request's last crash until its quarantine takes effect.
 ///
-/// Entries confirm the same crash at different times. The delay lets reports on other requests
-/// that ran at the server arrive before a request is rejected for its crash.
+/// Entries confirm the same crash at different times. The delay lets reports on other
+/// requests that ran on the server arrive before a request is rejected for the crash.
 const QUARANTINE_DELAY_MS: u64 = 300;
 
 /// How long a request is rejected after its last crash.
 ///
-/// Long enough that a request which still crashes servers costs one of them rarely, short
-/// enough that a mended server gets it the same day.
+/// Long enough that a request which still crashes servers rarely takes one down, short
+/// enough that a fixed server receives the request on the same day.
 const QUARANTINE_MS: u64 = 600_000;
 
-/// How long after its last crash a request is forgotten.
-const FORGET_MS: u64 = 3_600_000;
+/// How long a request is kept after its last crash.
+const RETENTION_MS: u64 = 3_600_000;
 
-/// How many crashes of one request are kept.
+/// The maximum number of crashes kept per request.
 const MAX_CRASHES: usize = 16;
 
-/// How many requests are kept; those known least long and not in quarantine give way.
+/// The maximum number of requests kept. At the limit, those in quarantine are kept, and
+/// of the others the half with the oldest last crashes is dropped.
 const MAX_REQUESTS: usize = 20_000;
 
-/// How many crashed servers are kept. At the limit, those last reported at least `FORGET_MS`
-/// ago are dropped; if there are none, the new one is not recorded.
+/// The maximum number of crashed servers kept. At the limit, those last reported at least
+/// `RETENTION_MS` ago are dropped; if there are none, the new one is not recorded.
 const MAX_CRASHED_SERVERS: usize = 20_000;
 
-/// How long after it ran to its end a request is not blamed for a crash.
-const SERVED_MS: u64 = 10_000;
+/// How long after its completion a request is not blamed for a crash.
+const SERVED_RETENTION_MS: u64 = 10_000;
 
 /// A crash of a server during a run of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashReport {
-    /// The request.
+    /// The request that was running.
     pub request: RequestKey,
-    /// A hash of the server's identity, its start and its crashes known before the run.
+    /// A hash of the server's identity, its incarnation and the crashes known before the
+    /// run.
     pub server: u64,
-    /// How long the request had run there, in milliseconds; the longest of several runs.
+    /// How long the request had run there; the longest of several runs.
     pub ran_ms: u64,
-    /// Whether the request has run to its end since, so that it is not to blame.
+    /// Whether the request has completed since, so that it is not to blame.
     pub is_void: bool,
 }
 
-/// Whether and how a request may be sent.
+/// Whether and how a request may be sent to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// It is sent like any other.
+    /// It is sent like any other request.
     Good,
-    /// It is sent once an attempt, where least else runs.
+    /// It is sent once per attempt, to the server that runs the fewest other requests.
     Suspect,
     /// It is rejected.
     Quarantined {
-        /// Until then.
+        /// When the quarantine ends.
         until: UnixMs,
     },
 }
 
-/// The crashes of servers, by the requests that they ran.
+/// The server crashes, by the requests that were running.
 #[derive(Debug, Default)]
 pub struct CrashLedger {
     requests: HashMap<RequestKey, Crashes>,
     /// The crashed servers, by [`CrashReport::server`], with the time of the last report.
     crashed_servers: HashMap<u64, UnixMs>,
-    /// The requests with enough crashes to be rejected.
+    /// The requests with enough crashes to be quarantined.
     candidates: HashSet<RequestKey>,
-    /// Those of them that caused crashes, by the present reports.
+    /// The candidates to which crashes are attributed by the current reports.
     blamed: HashSet<RequestKey>,
 }
 
@@ -111,7 +115,7 @@
     }
 
     /// Returns the mean run time over the counted crashes.
-    fn mean_ran_ms(&self) -> u64 {
+    fn mean_run_ms(&self) -> u64 {
         let counted = self.reports.iter().filter(|report| !report.is_void);
         let total_ms: u64 = counted.map(|report| report.ran_ms).sum();
         total_ms / self.counted().max(1) as u64
@@ -130,22 +134,22 @@
 }
 
 impl CrashLedger {
-    /// Merges a report; returns whether it changes anything.
+    /// Merges a report and returns whether it changed the ledger.
     pub fn merge(&mut self, report: CrashReport, now: UnixMs) -> bool {
-        let is_news = self.insert(report, now);
-        if is_news {
+        let is_changed = self.insert(report, now);
+        if is_changed {
             self.update_blame(report.request);
         }
-        is_news
+        is_changed
     }
 
     fn insert(&mut self, report: CrashReport, now: UnixMs) -> bool {
         self.make_room(report.request, now);
         self.record_crashed_server(report.server, now);
-        let fresh = || Crashes { reports: Vec::new(), last_at: now };
-        let crashes = self.requests.entry(report.request).or_insert_with(fresh);
-        if is_forgotten(crashes, now) {
-            *crashes = fresh();
+        let new_entry = || Crashes { reports: Vec::new(), last_at: now };
+        let crashes = self.requests.entry(report.request).or_insert_with(new_entry);
+        if is_expired(crashes, now) {
+            *crashes = new_entry();
         }
         let known =
             crashes.reports.iter_mut().find(|known| known.server == report.server);
@@ -172,7 +176,7 @@
         }
     }
 
-    /// Voids the crashes of a request that has run to its end; returns what changed.
+    /// Voids the crashes of a completed request and returns the reports that changed.
     pub fn void_crashes(&mut self, request: RequestKey) -> Vec<CrashReport> {
         let Some(crashes) = self.requests.get_mut(&request) else { return Vec::new() };
         let counted = crashes.reports.iter_mut().filter(|report| !report.is_void);
@@ -187,30 +191,30 @@
         voided
     }
 
-    /// Returns how a request stands.
+    /// Returns whether and how a request may be sent.
     pub fn standing(&self, request: RequestKey, now: UnixMs) -> Standing {
         let crashes = self.requests.get(&request);
-        let crashes = crashes.filter(|crashes| !is_forgotten(crashes, now));
+        let crashes = crashes.filter(|crashes| !is_expired(crashes, now));
         let is_blamed = self.blamed.contains(&request);
         crashes.map_or(Standing::Good, |crashes| crashes.standing(is_blamed, now))
     }
 
-    /// Returns whether a crash of a server is recorded, from a report on any request, void
-    /// or not.
+    /// Returns whether a report on any request, void or not, recorded a crash of a
+    /// server.
     pub fn has_crashed(&self, server: u64) -> bool {
         self.crashed_servers.contains_key(&server)
     }
 
     fn record_crashed_server(&mut self, server: u64, now: UnixMs) {
         if self.crashed_servers.len() >= MAX_CRASHED_SERVERS {
-            self.crashed_servers.retain(|_, at| now.ms_since(*at) < FORGET_MS);
+            self.crashed_servers.retain(|_, at| now.ms_since(*at) < RETENTION_MS);
         }
         if self.crashed_servers.len() < MAX_CRASHED_SERVERS {
             self.crashed_servers.insert(server, now);
         }
     }
 
-    /// Returns whether a request in quarantine must wait instead of being rejected, because
+    /// Returns whether a quarantined request must wait instead of being rejected, because
     /// reports that lift its quarantine may still arrive.
     pub fn is_quarantine_pending(&self, request: RequestKey, now: UnixMs) -> bool {
         let crashes = self.requests.get(&request);
@@ -221,14 +225,14 @@
         is_quarantined && effective_at.is_some_and(|at| !at.has_passed_at(now))
     }
 
-    /// Returns all reports on requests that are not forgotten.
+    /// Returns all reports on requests whose crashes have not expired.
     pub fn reports(&self, now: UnixMs) -> Vec<CrashReport> {
         let crashes = self.requests.values();
-        let crashes = crashes.filter(|crashes| !is_forgotten(crashes, now));
+        let crashes = crashes.filter(|crashes| !is_expired(crashes, now));
         crashes.flat_map(|crashes| &crashes.reports).copied().collect()
     }
 
-    /// Returns the reports on requests that are suspect or in quarantine.
+    /// Returns the reports on requests that are suspect or quarantined.
     pub fn reports_on_suspects(&self, now: UnixMs) -> Vec<CrashReport> {
         let suspects = self.requests.iter();
         let suspects = suspects
@@ -236,7 +240,7 @@
         suspects.flat_map(|(_, crashes)| &crashes.reports).copied().collect()
     }
 
-    /// Assigns blame anew if the crashes of a request may change it.
+    /// Reassigns blame if the crashes of a request may change it.
     fn update_blame(&mut self, request: RequestKey) {
         let counted = self.requests.get(&request).map_or(0, Crashes::counted);
         let was_candidate = match counted >= QUARANTINE_AFTER {
@@ -248,20 +252,20 @@
         }
     }
 
-    /// Holds each crash against one request, that with the most crashes first.
+    /// Attributes each crash to one request, starting with the one with the most crashes.
     ///
-    /// A request that ran wherever another one crashed servers would else be rejected with
-    /// it, and never run again to show that it crashes none. One that is taken for the cause
-    /// wrongly crashes no more, while the true cause gets more crashes than it, or three that
-    /// are not explained.
+    /// Otherwise a request that ran on the servers which another one crashed would be
+    /// rejected too, and could never complete to show that it is harmless. If a request
+    /// is blamed wrongly, it crashes no further servers, while the actual cause goes on
+    /// to accumulate more crashes than it, or `QUARANTINE_AFTER` unexplained ones.
     fn assign_blame(&mut self) {
         let requests = &self.requests;
         self.candidates.retain(|request| requests.contains_key(request));
         let counted = |request: &RequestKey| requests[request].counted();
         let mut ranked: Vec<_> = self.candidates.iter().copied().collect();
-        let mean_ran_ms = |request: &RequestKey| requests[request].mean_ran_ms();
+        let mean_run_ms = |request: &RequestKey| requests[request].mean_run_ms();
         ranked.sort_unstable_by_key(|request| {
-            (Reverse(counted(request)), mean_ran_ms(request), *request)
+            (Reverse(counted(request)), mean_run_ms(request), *request)
         });
         let mut explained = HashSet::new();
         self.blamed.clear();
@@ -276,13 +280,13 @@
         }
     }
 
-    /// Drops what is forgotten, and then half of the requests that are not in quarantine,
-    /// if another request would exceed the limit.
+    /// Makes room for a request at the limit: drops expired requests and, if these are
+    /// not enough, the older half of those that are not blamed.
     fn make_room(&mut self, request: RequestKey, now: UnixMs) {
         if self.requests.len() < MAX_REQUESTS || self.requests.contains_key(&request) {
             return;
         }
-        self.requests.retain(|_, crashes| !is_forgotten(crashes, now));
+        self.requests.retain(|_, crashes| !is_expired(crashes, now));
         if self.requests.len() < MAX_REQUESTS {
             return;
         }
@@ -296,13 +300,13 @@
     }
 }
 
-fn is_forgotten(crashes: &Crashes, now: UnixMs) -> bool {
-    now.ms_since(crashes.last_at) >= FORGET_MS
+fn is_expired(crashes: &Crashes, now: UnixMs) -> bool {
+    now.ms_since(crashes.last_at) >= RETENTION_MS
 }
 
-/// The requests that have run to their end lately.
+/// The requests that completed recently.
 ///
-/// Kept in two generations, so that old ones are dropped without a search.
+/// Kept in two generations, so that old entries are dropped without a scan.
 #[derive(Debug, Default)]
 pub struct ServedRequests {
     current: HashMap<RequestKey, UnixMs>,
@@ -311,18 +315,18 @@
 }
 
 impl ServedRequests {
-    /// Records that a request has run to its end.
+    /// Records that a request has completed.
     pub fn record(&mut self, request: RequestKey, now: UnixMs) {
-        if now.ms_since(self.since) >= SERVED_MS {
+        if now.ms_since(self.since) >= SERVED_RETENTION_MS {
             self.previous = std::mem::take(&mut self.current);
             self.since = now;
         }
         self.current.insert(request, now);
     }
 
-    /// Returns whether a request ran to its end shortly before.
+    /// Returns whether a request completed within the last `SERVED_RETENTION_MS`.
     pub fn contains(&self, request: RequestKey, now: UnixMs) -> bool {
         let served_at = self.current.get(&request).or(self.previous.get(&request));
-        served_at.is_some_and(|at| now.ms_since(*at) < SERVED_MS)
+        served_at.is_some_and(|at| now.ms_since(*at) < SERVED_RETENTION_MS)
     }
 }
--- a/crates/bilberry-core/src/cursor.rs
+++ b/crates/bilberry-core/src/cursor.rs
@@ -1,17 +1,17 @@
-//! The order of a stream as its caller sees it.
+//! Ordering of a response stream across attempts, as the caller sees it.
 
 /// What to do with a frame that arrived.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum Accept {
-    /// The frame is the next one: deliver it.
+    /// The frame is the next in sequence and is delivered.
     Deliver,
-    /// The frame belongs to an earlier attempt or came twice: drop it.
+    /// The frame belongs to another attempt or is a duplicate, and is dropped.
     Drop,
-    /// A frame is missing before this one: the attempt is broken.
+    /// A preceding frame is missing, so the attempt has failed.
     Gap,
 }
 
-/// The position of a caller's stream over all its attempts.
+/// The position of a caller's stream across all its attempts.
 #[derive(Debug, Clone)]
 pub struct StreamCursor {
     attempt: u32,
@@ -20,22 +20,22 @@
 }
 
 impl StreamCursor {
-    /// Creates a cursor before the first frame of attempt 0.
+    /// Creates a cursor positioned before the first frame of attempt 0.
     pub fn new() -> Self {
         Self { attempt: 0, next_number: 0, text: String::new() }
     }
 
-    /// Starts a further attempt and returns its number.
+    /// Starts another attempt and returns its number.
     ///
-    /// Frames of the attempts before it are dropped from now on. Without this a
-    /// frame that was late on a slow link would reach the caller a second time.
+    /// Frames of earlier attempts are dropped from now on. Otherwise a frame delayed on a
+    /// slow link would be delivered to the caller a second time.
     pub fn start_attempt(&mut self) -> u32 {
         self.attempt += 1;
         self.next_number = 0;
         self.attempt
     }
 
-    /// Judges a frame and, if it is the next one, appends its text.
+    /// Classifies a frame and, if it is the next in sequence, appends its text.
     pub fn accept(&mut self, attempt: u32, number: u64, text: &str) -> Accept {
         match number.cmp(&self.next_number) {
             _ if attempt != self.attempt => Accept::Drop,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Returns the text delivered so far, from which a new attempt resumes.
+    /// Returns the text delivered so far; a new attempt resumes after it.
     pub fn text(&self) -> &str {
         &self.text
     }
--- a/crates/bilberry-core/src/departures.rs
+++ b/crates/bilberry-core/src/departures.rs
@@ -1,8 +1,9 @@
-//! Servers that have left, and that an older copy of the store may name again.
+//! Tombstones of deregistered servers that a restored store may list again.
 //!
-//! The load pattern: the store comes back from a copy some seconds old, which has the
-//! entries of servers that left since. Used again, each of them costs requests their few
-//! repeats until the store drops the entry, which takes three heartbeats of silence.
+//! A store that is restored from a backup some seconds old lists servers that have
+//! deregistered since. If these were used again, each of them would use up the limited
+//! retries of requests until the store expires its entry, which takes three missed
+//! heartbeats.
 
 use std::collections::BTreeMap;
 
@@ -11,78 +12,82 @@
 use crate::Told;
 use crate::UnixMs;
 
-/// For how long a server that left is remembered; copies are some seconds old.
-const REMEMBERED_MS: u64 = 60_000;
+/// How long a tombstone is kept; backups are only some seconds old.
+const TOMBSTONE_RETENTION_MS: u64 = 60_000;
 
-/// After how many heartbeats the store has dropped an entry that nobody renews.
+/// The number of heartbeat intervals after which the store has expired an entry that is
+/// not renewed.
 ///
-/// Three without one, and a fourth for the store's own delay.
-const HEARTBEATS_TO_DROP: u64 = 4;
+/// The entry expires after three missed heartbeats; the fourth covers the store's own
+/// delay.
+const HEARTBEATS_TO_EXPIRE: u64 = 4;
 
-/// The servers that left lately.
+/// The servers that deregistered recently.
 #[derive(Debug)]
 pub struct Departures {
-    drop_ms: u64,
-    left: BTreeMap<Name, Left>,
-    /// Until when an older copy may name servers that left.
+    expiry_ms: u64,
+    tombstones: BTreeMap<Name, Tombstone>,
+    /// When the restored store has expired all entries of deregistered servers.
     doubt_until: UnixMs,
 }
 
-/// A server that left.
+/// The tombstone of one server.
 #[derive(Debug)]
-struct Left {
+struct Tombstone {
     at: UnixMs,
     incarnation: Option<Incarnation>,
 }
 
 impl Departures {
-    /// Knows of none; servers renew their entries every `heartbeat_ms`.
+    /// Creates an empty set for servers that renew their entries every `heartbeat_ms`.
     pub fn new(heartbeat_ms: u64) -> Self {
         Self {
-            drop_ms: heartbeat_ms * HEARTBEATS_TO_DROP,
-            left: BTreeMap::new(),
+            expiry_ms: heartbeat_ms * HEARTBEATS_TO_EXPIRE,
+            tombstones: BTreeMap::new(),
             doubt_until: UnixMs(0),
         }
     }
 
-    /// Notes that a server left, in the start that was known of it.
+    /// Records that a server deregistered, with its last known incarnation.
     pub fn note_left(
         &mut self,
         id: &Name,
         incarnation: Option<Incarnation>,
         now: UnixMs,
     ) {
-        self.left.retain(|_, left| now.ms_since(left.at) < REMEMBERED_MS);
-        self.left.insert(id.clone(), Left { at: now, incarnation });
+        self.tombstones
+            .retain(|_, tombstone| now.ms_since(tombstone.at) < TOMBSTONE_RETENTION_MS);
+        self.tombstones.insert(id.clone(), Tombstone { at: now, incarnation });
     }
 
-    /// Notes that the store came back from an older copy.
+    /// Records that the store was restored from an older backup.
     pub fn note_restored(&mut self, now: UnixMs) {
-        self.doubt_until = now.plus_ms(self.drop_ms);
+        self.doubt_until = now.plus_ms(self.expiry_ms);
     }
 
-    /// Notes that a server's entry was written: it is there.
+    /// Records that a server's entry was written, which means that the server is running.
     pub fn note_written(&mut self, id: &str) {
-        self.left.remove(id);
+        self.tombstones.remove(id);
     }
 
-    /// Reports whether an entry that a list names may be of a server that had left.
+    /// Returns whether a listed entry may belong to a server that has deregistered.
     ///
-    /// A later start than the one that left is told by the server itself. An entry that
-    /// is still there once the store must have dropped it is renewed by somebody.
+    /// An entry with a later incarnation than the deregistered one was written by the
+    /// server after a restart. An entry that is still listed after the expiry time is
+    /// being renewed.
     pub fn is_doubtful(
         &self,
         id: &str,
         incarnation: Option<Incarnation>,
         now: UnixMs,
     ) -> bool {
-        let Some(left) = self.left.get(id) else { return false };
-        let told = Incarnation::compare(left.incarnation, incarnation);
-        let is_remembered = now.ms_since(left.at) < REMEMBERED_MS;
-        is_remembered && told != Told::Newer && !self.doubt_until.has_passed_at(now)
+        let Some(tombstone) = self.tombstones.get(id) else { return false };
+        let order = Incarnation::compare(tombstone.incarnation, incarnation);
+        let is_retained = now.ms_since(tombstone.at) < TOMBSTONE_RETENTION_MS;
+        is_retained && order != Told::Newer && !self.doubt_until.has_passed_at(now)
     }
 
-    /// Returns until when entries of servers that left are doubtful.
+    /// Returns when entries of deregistered servers are no longer doubtful.
     pub fn doubt_until(&self) -> UnixMs {
         self.doubt_until
     }
--- a/crates/bilberry-core/src/fence.rs
+++ b/crates/bilberry-core/src/fence.rs
@@ -1,47 +1,50 @@
-//! Fencing tokens of orders to engines.
+//! Fencing tokens for orders to engines.
 //!
-//! Engines, or whoever watches them, refuse a token below one that was seen. A token
-//! therefore rises with the version of the weights, which only grows, and within a
-//! version from one holder of orders to the next. All of it fits into the whole numbers
-//! that every writer of JSON keeps exact.
+//! Engines, or the processes that supervise them, reject a token lower than one already
+//! seen. Tokens therefore increase with the version of the weights, which never
+//! decreases, and within a version from one lease holder to the next. Tokens stay within
+//! the range of integers that every JSON implementation represents exactly.
 
-/// How many bits tell one holder from the next within an era.
+/// The number of bits for the term, which distinguishes holders within an era.
 const TERM_BITS: u32 = 16;
 
-/// How many bits tell the eras of the platform's store apart.
+/// The number of bits for the era of the platform's store.
 const ERA_BITS: u32 = 10;
 
-/// The largest term that a token tells from the one before.
+/// The largest term that a token can represent; greater ones are clamped to it.
+///
+/// The value above it is reserved for the token of the sidecar.
 const MAX_TERM: u64 = (1 << TERM_BITS) - 2;
 
-/// The largest era that a token tells from the one before.
+/// The largest era that a token can represent; greater ones are clamped to it.
 const MAX_ERA: u64 = (1 << ERA_BITS) - 1;
 
-/// Where a holder's right comes from: a term of the claim, in an era of the store.
+/// The era of the store and the term of the claim under which a holder gives orders.
 #[derive(Debug, Copy, Clone, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Tenure {
-    /// How often the store came back from an older copy; terms are given out again.
+    /// The number of times the store was restored from an older backup. Terms may be
+    /// reused in a later era.
     pub era: u64,
-    /// How often the claim has changed hands.
+    /// The number of times the claim has changed holders.
     pub term: u64,
 }
 
 impl Tenure {
-    /// Returns the token with which this holder orders a version of weights.
+    /// Returns the fencing token for this holder's orders of a version of the weights.
     pub fn fence(self, version: u64) -> u64 {
-        let within = self.era.min(MAX_ERA) << TERM_BITS | self.term.min(MAX_TERM);
-        first_of(version) | within
+        let era_and_term = self.era.min(MAX_ERA) << TERM_BITS | self.term.min(MAX_TERM);
+        first_token(version) | era_and_term
     }
 }
 
-/// Returns the token with which an engine's own sidecar orders a version of weights.
+/// Returns the fencing token for the orders of an engine's own sidecar.
 ///
-/// Above that of every other holder for this version, as a sidecar may start while
-/// another one orders, and below those for the next version.
+/// It is above the tokens of all other holders for this version, because a sidecar may
+/// start while another holder gives orders, and below all tokens for the next version.
 pub fn sidecar_fence(version: u64) -> u64 {
-    first_of(version + 1) - 1
+    first_token(version + 1) - 1
 }
 
-fn first_of(version: u64) -> u64 {
+fn first_token(version: u64) -> u64 {
     version << (ERA_BITS + TERM_BITS)
 }
--- a/crates/bilberry-core/src/freshness.rs
+++ b/crates/bilberry-core/src/freshness.rs
@@ -1,33 +1,34 @@
-//! Until when what was read from the platform may be relied on.
+//! How long data read from the platform may be relied on.
 
 use crate::UnixMs;
-use crate::lapses::BACK_WITHIN_MS;
-use crate::lapses::CALLS_TO_LAPSE;
+use crate::lapses::MIN_OUTAGE_CALLS;
+use crate::lapses::RECOVERY_GRACE_MS;
 
-/// How recently something was confirmed to be the newest there is.
+/// Tracks when data was last confirmed to be current.
 ///
-/// An answer that is late proves nothing about the moment it arrives: the
-/// platform may have changed since. What it proves is the state when the question
-/// was asked, or when a wait that brought nothing ended.
+/// A response says nothing about the time of its arrival, because the platform may have
+/// changed in between. It confirms the state at the time of the request or, for a watch
+/// that ended without changes, at the end of its wait.
 #[derive(Debug, Copy, Clone, Default, PartialEq, Eq)]
 pub struct Freshness {
     confirmed_at: UnixMs,
     doubt: Option<Doubt>,
 }
 
-/// What a store that came back from an older copy may still lack.
+/// The uncertainty about a store that was restored from an older backup.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 struct Doubt {
-    /// By when what was lost has been written again.
+    /// When the lost writes have been repeated.
     until: UnixMs,
-    /// Whether it shows an older state than one that it had.
+    /// Whether the restored state is older than the known one.
     is_behind: bool,
-    /// How many calls in a row were not answered.
-    lost_calls: u32,
+    /// The number of consecutive calls without a response.
+    failed_calls: u32,
 }
 
 impl Freshness {
-    /// Notes an answer with news, or to a plain read, to a question of `asked_at`.
+    /// Records the response to a plain read, or a response with changes, for a request
+    /// made at `asked_at`.
     pub fn confirm_read(&mut self, asked_at: UnixMs) {
         if let Some(doubt) = &mut self.doubt {
             doubt.note_answer(asked_at);
@@ -38,81 +39,84 @@
         }
     }
 
-    /// Notes that a watch of `wait_ms` ended at `now` with nothing new.
+    /// Records that a watch with a wait of `wait_ms` ended at `now` without changes.
     ///
-    /// The platform answered no sooner than the wait allows, unless it cut the
-    /// watch short, so the earlier of both times is taken.
+    /// The platform responds at the end of the wait unless it cuts the watch short, so
+    /// the earlier of the two times is used.
     pub fn confirm_quiet(&mut self, asked_at: UnixMs, wait_ms: u64, now: UnixMs) {
         self.confirm_read(asked_at.plus_ms(wait_ms).min(now));
     }
 
-    /// Notes that the store came back from an older copy, as noticed at `now`.
+    /// Records that the store was restored from an older backup, as detected at `now`.
     ///
-    /// It may lack what it had acknowledged, also what nobody here ever heard of, and
-    /// nothing in the copy tells. If the copy confirmed what is known, a key that was
-    /// taken away in the seconds lost would open until that is written again. So what
-    /// was confirmed before runs out as if the store were away until then.
+    /// The restored store may lack acknowledged writes, including ones this process never
+    /// received, and its content does not show which. If reads of it counted as
+    /// confirmation, a key revoked in the lost interval would be accepted until the
+    /// revocation is written again. Until then, earlier confirmations expire as if the
+    /// store were unreachable.
     pub fn doubt(&mut self, now: UnixMs) {
-        let until = now.plus_ms(BACK_WITHIN_MS);
-        self.doubt = Some(Doubt { until, is_behind: true, lost_calls: 0 });
+        let until = now.plus_ms(RECOVERY_GRACE_MS);
+        self.doubt = Some(Doubt { until, is_behind: true, failed_calls: 0 });
     }
 
-    /// Notes that a call to the store was not answered.
+    /// Records that a call to the store got no response.
     ///
-    /// Nobody can write again what was lost while the store is away once more, so after
-    /// an outage the doubt has its time anew. A single call that failed is no outage.
+    /// Lost writes cannot be repeated while the store is unreachable, so an outage
+    /// restarts the doubt period. A single failed call does not count as an outage.
     pub fn note_lost(&mut self) {
         if let Some(doubt) = &mut self.doubt {
-            doubt.lost_calls += 1;
+            doubt.failed_calls += 1;
         }
     }
 
-    /// Notes what the copy shows: whether its state is older than the one known.
+    /// Records whether the restored state is older than the known one.
     pub fn note_copy(&mut self, is_behind: bool) {
         if let Some(doubt) = &mut self.doubt {
             doubt.is_behind = is_behind;
         }
     }
 
-    /// Notes that a state no older than the one known was written after the return.
+    /// Records a write after the restore of a state no older than the known one.
     ///
-    /// Whoever writes again writes the newest, so nothing is lacking any more.
+    /// Repeated writes carry the newest state, so nothing is missing any more.
     pub fn note_written_again(&mut self) {
         self.doubt = None;
     }
 
-    /// Reports whether an answer of `at` confirms nothing, as the store may lack what it
-    /// had before.
+    /// Returns whether a response for the time `at` confirms nothing, because the store
+    /// may lack earlier writes.
     pub fn is_doubted(&self, at: UnixMs) -> bool {
         self.doubt.is_some_and(|doubt| doubt.is_behind || at < doubt.until)
     }
 
-    /// Reports whether the store may lack what it had before, as far as is confirmed.
+    /// Returns whether a doubt is pending, that is, not yet cleared by a response or a
+    /// write.
     pub fn has_doubt(&self) -> bool {
         self.doubt.is_some()
     }
 
-    /// Returns when what was lost has been written again, while that is in doubt.
+    /// Returns when lost writes will have been repeated; `None` without a pending doubt.
     pub fn doubted_until(&self) -> Option<UnixMs> {
         self.doubt.map(|doubt| doubt.until)
     }
 
-    /// Returns when the knowledge was last known to be the newest.
+    /// Returns the time at which the data was last confirmed to be current.
     pub fn confirmed_at(&self) -> UnixMs {
         self.confirmed_at
     }
 
-    /// Reports whether it was the newest at most `within_ms` before `now`.
+    /// Returns whether the data was confirmed to be current less than `within_ms` before
+    /// `now`.
     pub fn holds(&self, now: UnixMs, within_ms: u64) -> bool {
         now.ms_since(self.confirmed_at) < within_ms
     }
 }
 
 impl Doubt {
-    /// Notes that a call made at `asked_at` was answered.
+    /// Records a response to a call made at `asked_at`.
     fn note_answer(&mut self, asked_at: UnixMs) {
-        if std::mem::take(&mut self.lost_calls) >= CALLS_TO_LAPSE {
-            self.until = self.until.max(asked_at.plus_ms(BACK_WITHIN_MS));
+        if std::mem::take(&mut self.failed_calls) >= MIN_OUTAGE_CALLS {
+            self.until = self.until.max(asked_at.plus_ms(RECOVERY_GRACE_MS));
         }
     }
 }
--- a/crates/bilberry-core/src/hlc.rs
+++ b/crates/bilberry-core/src/hlc.rs
@@ -1,13 +1,13 @@
-//! Hybrid logical clocks, which order events over processes.
+//! Hybrid logical clocks, which order events across processes.
 
 use std::sync::Mutex;
 
 use crate::Clock;
 
-/// How many low bits of a stamp count events within one millisecond.
+/// The number of low bits that count events within one millisecond.
 const COUNTER_BITS: u32 = 16;
 
-/// A stamp: milliseconds in the high bits, a counter in the low ones.
+/// A timestamp with milliseconds in the high bits and a counter in the low bits.
 #[derive(Debug, Copy, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Hlc(pub u64);
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// A clock that never runs behind a stamp it has seen.
+/// A clock that never returns a timestamp lower than one it has seen.
 #[derive(Debug)]
 pub struct HlcClock<C> {
     clock: C,
@@ -26,12 +26,12 @@
 }
 
 impl<C: Clock> HlcClock<C> {
-    /// Creates a clock over `clock`.
+    /// Creates a hybrid logical clock on top of a physical `clock`.
     pub fn new(clock: C) -> Self {
         Self { clock, last: Mutex::new(0) }
     }
 
-    /// Returns a stamp later than each one given or seen before.
+    /// Returns a timestamp greater than every one returned or observed before.
     pub fn tick(&self) -> Hlc {
         let wall = self.clock.now().0 << COUNTER_BITS;
         let mut last = self.last.lock().unwrap();
@@ -39,7 +39,7 @@
         Hlc(*last)
     }
 
-    /// Takes note of a stamp that came with a message.
+    /// Advances the clock to a timestamp received with a message.
     pub fn observe(&self, seen: Hlc) {
         let mut last = self.last.lock().unwrap();
         *last = (*last).max(seen.0);
--- a/crates/bilberry-core/src/incarnation.rs
+++ b/crates/bilberry-core/src/incarnation.rs
@@ -1,36 +1,36 @@
-//! Which start of an upstream something is said of.
+//! Incarnations, which distinguish the successive starts of an upstream.
 
 use std::fmt;
 
 use crate::UnixMs;
 
-/// One start of an upstream; a later one is greater.
+/// One start of an upstream; a later start compares greater.
 ///
-/// An upstream keeps its identity when it starts again, and holds and knows nothing
-/// of before. What was learnt of one incarnation says nothing of the next.
+/// An upstream keeps its identity across a restart but loses all its state, so
+/// information about one incarnation does not apply to the next.
 #[derive(Debug, Copy, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation {
-    /// When it started, by its own clock.
+    /// The start time by the upstream's own clock.
     pub born_at: UnixMs,
 }
 
-/// How what somebody speaks of stands to the incarnation that is known.
+/// How a reported incarnation compares with the known one.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum Told {
-    /// It is the same one, or nobody can tell.
+    /// Both are the same, or at least one of them is unknown.
     Same,
-    /// The known one is over.
+    /// The reported incarnation is newer, so the known one has ended.
     Newer,
-    /// It is over, and this came late.
+    /// The reported incarnation has ended; the report is stale.
     Older,
 }
 
 impl Incarnation {
-    /// Compares what is told with what is known; either may name no incarnation.
-    pub fn compare(known: Option<Self>, told: Option<Self>) -> Told {
-        match (known, told) {
-            (Some(known), Some(told)) if told > known => Told::Newer,
-            (Some(known), Some(told)) if told < known => Told::Older,
+    /// Compares a reported incarnation with the known one; `None` if it is unknown.
+    pub fn compare(known: Option<Self>, reported: Option<Self>) -> Told {
+        match (known, reported) {
+            (Some(known), Some(reported)) if reported > known => Told::Newer,
+            (Some(known), Some(reported)) if reported < known => Told::Older,
             _ => Told::Same,
         }
     }
--- a/crates/bilberry-core/src/lapses.rs
+++ b/crates/bilberry-core/src/lapses.rs
@@ -1,106 +1,111 @@
-//! Servers that the platform's list no longer names after an outage of its store.
+//! Servers that are missing from the platform's list after an outage of its store.
 //!
-//! The load pattern: entries of the list lapse when they are not renewed, also those
-//! of servers that live and merely could not reach the store. Given up at once, they
-//! would be missed under full load; kept too long, work goes to servers that left.
+//! Entries expire when they are not renewed, including those of running servers that
+//! could not reach the store. Removing such servers at once would cost capacity under
+//! full load; keeping them too long would send requests to servers that have shut down.
 
 use std::collections::BTreeMap;
 
 use crate::Name;
 use crate::UnixMs;
 
-/// For how long after the store's return a missing server is still used.
+/// How long a missing server is still used after the store has recovered.
 ///
-/// Entries of servers that live are back within about two seconds of it. A process
-/// notices the return up to a second late, and is to have given up what left within
-/// three seconds of it.
-pub(crate) const BACK_WITHIN_MS: u64 = 1_900;
+/// Running servers have re-registered within about two seconds of the recovery. A process
+/// detects the recovery up to a second late, and must have removed the servers that shut
+/// down within three seconds of it.
+pub(crate) const RECOVERY_GRACE_MS: u64 = 1_900;
 
-/// How many heartbeats of a server an outage covers before its entry may lapse.
+/// The minimum length in heartbeat intervals of an outage in which an entry may expire.
 ///
-/// An entry lapses after three intervals of silence, and the last heartbeat before
-/// the outage may have been due as it began. What is missing after a shorter one has
-/// left, or was late by itself.
-const HEARTBEATS_TO_LAPSE: u64 = 2;
+/// An entry expires after three missed heartbeats, and the first of these may have been
+/// due when the outage began. After a shorter outage, a missing server has shut down or
+/// was late for a different reason.
+const MIN_OUTAGE_HEARTBEATS: u64 = 2;
 
-/// How many calls in a row an outage leaves unanswered at least.
+/// The minimum number of consecutive calls without a response that count as an outage.
 ///
-/// A watch on a connection that fell silent is given up after longer than two
-/// heartbeats, and the next call is answered: one lost watch is no outage.
-pub(crate) const CALLS_TO_LAPSE: u32 = 2;
+/// A watch on a stalled connection times out only after more than two heartbeat
+/// intervals, and the next call succeeds, so a single failed watch is not an outage.
+pub(crate) const MIN_OUTAGE_CALLS: u32 = 2;
 
-/// What becomes of a server that is no longer listed.
+/// When a server that is no longer listed is removed.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum Removal {
-    /// It has left.
+    /// Immediately, because it has deregistered.
     Now,
-    /// Its entry may have lapsed; it is given up at this time unless it is listed.
+    /// At this time unless it is listed again, because its entry may have expired in an
+    /// outage.
     At(UnixMs),
 }
 
-/// The servers whose entries may have lapsed.
+/// The servers whose entries may have expired during an outage.
 #[derive(Debug)]
 pub struct Lapses {
-    lapse_ms: u64,
-    lost_at: Option<UnixMs>,
-    lost_calls: u32,
-    back_at: Option<UnixMs>,
+    min_outage_ms: u64,
+    outage_began_at: Option<UnixMs>,
+    failed_calls: u32,
+    recovered_at: Option<UnixMs>,
     missing: BTreeMap<Name, UnixMs>,
 }
 
 impl Lapses {
-    /// Knows no outage yet; servers renew their entries every `heartbeat_ms`.
+    /// Creates an empty set for servers that renew their entries every `heartbeat_ms`.
     pub fn new(heartbeat_ms: u64) -> Self {
         Self {
-            lapse_ms: heartbeat_ms * HEARTBEATS_TO_LAPSE,
-            lost_at: None,
-            lost_calls: 0,
-            back_at: None,
+            min_outage_ms: heartbeat_ms * MIN_OUTAGE_HEARTBEATS,
+            outage_began_at: None,
+            failed_calls: 0,
+            recovered_at: None,
             missing: BTreeMap::new(),
         }
     }
 
-    /// Notes that a call to the store, made at `asked_at`, was not answered.
+    /// Records that a call to the store made at `asked_at` got no response.
     pub fn note_lost(&mut self, asked_at: UnixMs) {
-        self.lost_at.get_or_insert(asked_at);
-        self.lost_calls += 1;
+        self.outage_began_at.get_or_insert(asked_at);
+        self.failed_calls += 1;
     }
 
-    /// Notes that the store answers.
+    /// Records that the store responded.
     ///
-    /// After another outage all that is missing has its time anew, as no server could
-    /// renew its entry meanwhile. A single call that failed is no outage: a store that
-    /// cuts a watch in each three seconds would keep a server that left for ever.
+    /// After another outage the grace period of all missing servers restarts, because no
+    /// server could renew its entry meanwhile. A single failed call does not count as an
+    /// outage: otherwise a store that interrupts a watch every three seconds would keep a
+    /// server that shut down in use forever.
     pub fn note_answer(&mut self, now: UnixMs) {
-        let lost_calls = std::mem::take(&mut self.lost_calls);
-        let Some(lost_at) = self.lost_at.take() else { return };
-        if lost_calls >= CALLS_TO_LAPSE && now.ms_since(lost_at) >= self.lapse_ms {
-            self.note_back(now);
+        let failed_calls = std::mem::take(&mut self.failed_calls);
+        let Some(outage_began_at) = self.outage_began_at.take() else { return };
+        if failed_calls >= MIN_OUTAGE_CALLS
+            && now.ms_since(outage_began_at) >= self.min_outage_ms
+        {
+            self.start_grace_period(now);
         }
     }
 
-    /// Notes that the store came back from an older copy, which may lack servers that
-    /// live, however short it was away.
+    /// Records that the store was restored from an older backup, which may lack running
+    /// servers regardless of the length of the outage.
     pub fn note_restored(&mut self, now: UnixMs) {
-        self.lost_calls = 0;
-        self.lost_at = None;
-        self.note_back(now);
+        self.failed_calls = 0;
+        self.outage_began_at = None;
+        self.start_grace_period(now);
     }
 
-    fn note_back(&mut self, now: UnixMs) {
-        self.back_at = Some(now);
-        let until = now.plus_ms(BACK_WITHIN_MS);
+    fn start_grace_period(&mut self, now: UnixMs) {
+        self.recovered_at = Some(now);
+        let until = now.plus_ms(RECOVERY_GRACE_MS);
         self.missing.values_mut().for_each(|due| *due = until);
     }
 
-    /// Says what becomes of a server that is no longer listed.
+    /// Decides when a server that is no longer listed is removed.
     ///
-    /// One that is missing already keeps its time, however often it is looked for.
+    /// Further calls for a server that is already missing do not extend its grace period.
     pub fn remove(&mut self, id: &Name, now: UnixMs) -> Removal {
         if let Some(&until) = self.missing.get(id) {
             return Removal::At(until);
         }
-        let until = self.back_at.map(|back_at| back_at.plus_ms(BACK_WITHIN_MS));
+        let until =
+            self.recovered_at.map(|recovered_at| recovered_at.plus_ms(RECOVERY_GRACE_MS));
         match until.filter(|until| !until.has_passed_at(now)) {
             Some(until) => {
                 self.missing.insert(id.clone(), until);
@@ -110,22 +115,23 @@
         }
     }
 
-    /// Notes that a server is listed; returns whether it was missing.
+    /// Records that a server is listed and returns whether it was missing.
     pub fn list(&mut self, id: &str) -> bool {
         self.missing.remove(id).is_some()
     }
 
-    /// Takes out the servers that did not come back, with the time of each.
+    /// Removes and returns the servers whose grace period has ended, with the end of
+    /// each.
     pub fn take_overdue(&mut self, now: UnixMs) -> Vec<(Name, UnixMs)> {
         self.missing.extract_if(.., |_, until| until.has_passed_at(now)).collect()
     }
 
-    /// Returns when the next missing server is to be given up.
+    /// Returns when the next grace period ends.
     pub fn next_due(&self) -> Option<UnixMs> {
         self.missing.values().min().copied()
     }
 
-    /// Returns how many servers are missing.
+    /// Returns the number of missing servers.
     pub fn missing(&self) -> usize {
         self.missing.len()
     }
--- a/crates/bilberry-core/src/lease.rs
+++ b/crates/bilberry-core/src/lease.rs
@@ -1,4 +1,4 @@
-//! Leases and slots, as they stand in the platform's object API.
+//! Leases and load slots, as stored in the platform's object API.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,38 +6,39 @@
 use crate::Name;
 use crate::UnixMs;
 
-/// The right to give orders to one upstream until a stored time.
+/// The exclusive right to give orders to one upstream until a stored deadline.
 ///
-/// The version of the object that holds it is the fencing number.
+/// The version of the object that stores the lease is the fencing token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The process that holds it, with its incarnation.
+    /// The process that holds the lease, with its incarnation.
     pub holder: Name,
-    /// Until when.
+    /// When the lease expires.
     pub deadline: UnixMs,
-    /// Before when the holder gives no order.
+    /// The time before which the holder gives no orders.
     ///
-    /// An upstream that ignores fencing numbers would obey an earlier holder's
-    /// order that is still on its way. A new holder waits that out.
+    /// An upstream that ignores fencing tokens would still execute an order of the
+    /// previous holder that is in transit. A new holder waits until no such order can
+    /// arrive.
     pub quiet_until: UnixMs,
 }
 
-/// How a lease may be taken.
+/// The next step for acquiring or keeping a lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// It is ours and lasts long enough.
+    /// The lease is held and lasts long enough.
     Held,
-    /// Write this lease on condition.
+    /// Write this lease conditionally.
     Write(Lease),
-    /// Somebody else holds it until then.
+    /// Another process holds the lease until this time.
     Wait(UnixMs),
 }
 
 impl Lease {
-    /// Decides how `holder` gets a lease that lasts until `until`.
+    /// Decides how `holder` acquires a lease that lasts until `until`.
     ///
-    /// `margin_ms` is waited after another holder's deadline before the first
-    /// order, if the upstream ignores fencing numbers.
+    /// `margin_ms` is the delay from another holder's deadline to the first order, for an
+    /// upstream that ignores fencing tokens.
     pub fn step(
         found: Option<&Self>,
         holder: &Name,
@@ -45,7 +46,7 @@
         until: UnixMs,
         margin_ms: u64,
     ) -> LeaseStep {
-        let fresh = |quiet_until| {
+        let write = |quiet_until| {
             LeaseStep::Write(Self {
                 holder: holder.clone(),
                 deadline: until,
@@ -53,68 +54,69 @@
             })
         };
         match found {
-            None => fresh(UnixMs(0)),
+            None => write(UnixMs(0)),
             Some(own) if own.holder == *holder => {
-                // Renewed when less than half of the wanted time is left.
-                let half = UnixMs(now.0 + until.ms_since(now) / 2);
-                match own.deadline > half {
+                // Renew once no more than half of the requested time is left.
+                let renew_at = UnixMs(now.0 + until.ms_since(now) / 2);
+                match own.deadline > renew_at {
                     true => LeaseStep::Held,
-                    false => fresh(own.quiet_until),
+                    false => write(own.quiet_until),
                 }
             }
             Some(other) if other.deadline.has_passed_at(now) => {
-                fresh(other.deadline.plus_ms(margin_ms))
+                write(other.deadline.plus_ms(margin_ms))
             }
             Some(other) => LeaseStep::Wait(other.deadline),
         }
     }
 
-    /// Reports whether an order may be given now, to arrive within `order_ms`.
+    /// Returns whether an order that arrives within `order_ms` may be given now.
     pub fn allows_order(&self, now: UnixMs, order_ms: u64) -> bool {
         self.quiet_until.has_passed_at(now)
             && !self.deadline.has_passed_at(now.plus_ms(order_ms))
     }
 }
 
-/// One taken slot.
+/// One occupied load slot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Slot {
-    /// The upstream that loads.
+    /// The upstream that is loading weights.
     pub upstream: Name,
-    /// Until when, should its holder vanish.
+    /// When the slot is freed if its holder fails to release it.
     pub deadline: UnixMs,
 }
 
-/// The upstreams of one pool that load weights now.
+/// The load slots of one pool, each occupied by an upstream that is loading weights.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Slots {
-    /// The taken slots.
+    /// The occupied slots.
     pub taken: Vec<Slot>,
 }
 
 impl Slots {
-    /// Returns the slots with one taken for `upstream`; `None` if all are taken.
+    /// Returns the slots with one occupied by `upstream`, or `None` if `max_slots` are
+    /// occupied.
     pub fn take(
         &self,
         upstream: &Name,
-        most: usize,
+        max_slots: usize,
         now: UnixMs,
         until: UnixMs,
     ) -> Option<Self> {
         let mut taken = self.others(upstream, now);
-        if taken.len() >= most {
+        if taken.len() >= max_slots {
             return None;
         }
         taken.push(Slot { upstream: upstream.clone(), deadline: until });
         Some(Self { taken })
     }
 
-    /// Returns the slots without the one of `upstream`.
+    /// Returns the slots without that of `upstream`.
     pub fn release(&self, upstream: &Name, now: UnixMs) -> Self {
         Self { taken: self.others(upstream, now) }
     }
 
-    /// Reports whether `upstream` has a slot.
+    /// Returns whether `upstream` occupies a slot.
     pub fn holds(&self, upstream: &Name, now: UnixMs) -> bool {
         let is_own = |slot: &&Slot| slot.upstream == *upstream;
         self.taken
@@ -124,8 +126,8 @@
     }
 
     fn others(&self, upstream: &Name, now: UnixMs) -> Vec<Slot> {
-        let live = |slot: &&Slot| !slot.deadline.has_passed_at(now);
+        let unexpired = |slot: &&Slot| !slot.deadline.has_passed_at(now);
         let others = self.taken.iter().filter(|slot| slot.upstream != *upstream);
-        others.filter(live).cloned().collect()
+        others.filter(unexpired).cloned().collect()
     }
 }
--- a/crates/bilberry-core/src/order_lease.rs
+++ b/crates/bilberry-core/src/order_lease.rs
@@ -1,205 +1,212 @@
-//! Who gives orders to engines that have no sidecar.
+//! The lease for giving orders to engines without a sidecar.
 //!
-//! A claim in the platform's store names one holder. Nothing there expires by itself and
-//! clocks of hosts differ, so each process counts by its own clock from what it saw.
+//! A claim in the platform's store names one holder. The store does not expire claims and
+//! the clocks of hosts differ, so each process measures by its own clock how long a claim
+//! has been unchanged.
 
 use crate::Name;
 use crate::Tenure;
 use crate::UnixMs;
 
-/// How often a holder renews its claim within the lease time.
+/// The number of renewals per lease time.
 ///
-/// Two renewals may go unanswered before it has to stand back.
+/// Two renewals may fail before the holder loses its lease.
 const RENEWALS_PER_LEASE: u64 = 3;
 
-/// How long the others leave a claim alone that was renewed since their last look.
-const LOOK_EVERY_MS: u64 = 5_000;
+/// How long the other processes wait to check a claim again that was renewed since their
+/// last check.
+const CHECK_INTERVAL_MS: u64 = 5_000;
 
-/// How long to wait after a call that failed.
+/// The delay after a failed call.
 const RETRY_MS: u64 = 500;
 
-/// The claim as it stands in the store.
+/// The claim as stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderClaim {
-    /// The host that holds it.
+    /// The host that holds the claim.
     pub holder: Name,
-    /// How often it has changed hands.
+    /// The number of times the claim has changed holders.
     pub term: u64,
-    /// How often it was renewed in this term; makes each write a change.
+    /// The number of renewals in this term; makes each write change the claim.
     pub renewal: u64,
 }
 
-/// What an answer of the store showed.
+/// The claim as reported in a response of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SeenClaim {
-    /// The era of the store that answered.
+    /// The era of the store at the time of the response.
     pub era: u64,
-    /// The revision of the claim's last change; zero if there is none.
+    /// The revision of the claim's last change; zero if there is no claim.
     pub revision: u64,
     /// The claim, if there is one.
     pub claim: Option<OrderClaim>,
 }
 
-/// A claim that is to be written on condition.
+/// A conditional write of the claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimWrite {
-    /// The era whose claim it is.
+    /// The era to which the claim belongs.
     ///
-    /// Each era of the store has a claim of its own. Carried out late, after the store
-    /// came back from an older copy, a write may meet a revision that was given out
-    /// again; it must not replace the claim of one who holds it in the new era.
+    /// Each era of the store has its own claim. A delayed write that executes after the
+    /// store was restored from an older backup may find its expected revision reused; it
+    /// must not replace the claim of the holder in the new era.
     pub era: u64,
-    /// What is to stand there.
+    /// The claim to write.
     pub claim: OrderClaim,
-    /// The revision that it replaces; zero if there must be none.
+    /// The revision to replace; zero if there must be no claim.
     pub expected_revision: u64,
 }
 
-/// What came of a write.
+/// The outcome of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It is in force.
+    /// The claim was written.
     Written(SeenClaim),
-    /// The condition does not hold; this stands there.
+    /// The expected revision did not match; this is the stored claim.
     Conflict(SeenClaim),
-    /// It may be in force, now or later.
+    /// The write may take effect, now or later.
     Unclear,
 }
 
-/// What a process has to do about the claim.
+/// The next action of a process regarding the claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseTask {
-    /// Nothing until then.
+    /// Do nothing until this time.
     Wait(UnixMs),
-    /// Look who holds it; what the answer says may be seconds old.
+    /// Check who holds the claim; the response may be seconds old.
     Glance,
-    /// Read it from the store itself.
+    /// Read the claim from the store itself.
     Read,
-    /// Write it on condition.
+    /// Write the claim conditionally.
     Write(ClaimWrite),
 }
 
-/// How long a right lasts, and how long an order takes.
+/// The durations of a lease and of an order.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub struct LeaseTerms {
-    /// The time within which no two holders may order the same engine.
+    /// The minimum time between orders of two holders to the same engine, and the
+    /// validity of a lease.
     pub lease_ms: u64,
-    /// The longest from the last look at the deadline to an order's arrival.
+    /// The maximum time from the last check of the deadline to the arrival of an order.
     pub order_ms: u64,
 }
 
 impl LeaseTerms {
-    /// Returns how long a claim must stand unchanged before another process takes it.
+    /// Returns how long a claim must be unchanged before another process takes it over.
     ///
-    /// A right lasts one lease time; the other one keeps orders of both apart.
+    /// The lease of the previous holder lasts one lease time; the second one separates
+    /// the orders of the two holders.
     pub fn takeover_ms(self) -> u64 {
         2 * self.lease_ms + self.order_ms
     }
 }
 
-/// What one process knows of the claim, and whether it holds it.
+/// The state of one process regarding the claim.
 #[derive(Debug)]
 pub struct OrderLease {
-    own: Name,
+    own_host: Name,
     terms: LeaseTerms,
-    standing: Standing,
-    /// The highest term seen, should somebody delete the claim.
-    last: Tenure,
+    state: State,
+    /// The highest era and term seen; terms must increase even if the claim is deleted.
+    highest: Tenure,
     retry_at: UnixMs,
 }
 
 #[derive(Debug)]
-enum Standing {
-    /// Somebody else renews it, as far as this process knows.
-    Follows { last: Option<OrderClaim>, look_at: UnixMs },
-    /// Nobody seems to renew it; it is to be read.
-    Doubts,
-    /// It has stood like this since this process read it.
-    Contends { seen: SeenClaim, since: UnixMs },
-    /// This process holds it.
-    Holds(Held),
+enum State {
+    /// Another process renews the claim, as far as this process knows.
+    Following { last_seen: Option<OrderClaim>, check_at: UnixMs },
+    /// The claim appears not to be renewed and must be read from the store itself.
+    Unconfirmed,
+    /// The claim was read from the store at `since` and is taken over if it stays
+    /// unchanged.
+    Contending { seen: SeenClaim, since: UnixMs },
+    /// This process holds the claim.
+    Holding(HeldClaim),
 }
 
 /// A claim that this process holds.
 #[derive(Debug)]
-struct Held {
+struct HeldClaim {
     seen: SeenClaim,
     claim: OrderClaim,
     deadline: UnixMs,
     renew_at: UnixMs,
-    /// A renewal that may be in force.
-    unclear: Option<OrderClaim>,
+    /// A renewal whose outcome is unknown.
+    unconfirmed: Option<OrderClaim>,
 }
 
 impl OrderLease {
-    /// Creates the state of a process on host `own` that knows of no claim; it looks
-    /// first at `look_at`.
-    pub fn new(own: Name, terms: LeaseTerms, look_at: UnixMs) -> Self {
-        let standing = Standing::Follows { last: None, look_at };
-        Self { own, terms, standing, last: Tenure::default(), retry_at: UnixMs(0) }
+    /// Creates the state of a process on `own_host` that knows of no claim and checks for
+    /// one at `check_at`.
+    pub fn new(own_host: Name, terms: LeaseTerms, check_at: UnixMs) -> Self {
+        let state = State::Following { last_seen: None, check_at };
+        let highest = Tenure::default();
+        Self { own_host, terms, state, highest, retry_at: UnixMs(0) }
     }
 
-    /// Returns what is to be done now.
+    /// Returns the next action.
     pub fn task(&self, now: UnixMs) -> LeaseTask {
         if !self.retry_at.has_passed_at(now) {
             return LeaseTask::Wait(self.retry_at);
         }
-        match &self.standing {
-            Standing::Follows { look_at, .. } if look_at.has_passed_at(now) => {
+        match &self.state {
+            State::Following { check_at, .. } if check_at.has_passed_at(now) => {
                 LeaseTask::Glance
             }
-            Standing::Follows { look_at, .. } => LeaseTask::Wait(*look_at),
-            Standing::Doubts => LeaseTask::Read,
-            Standing::Contends { seen, since } => {
-                let take_at = since.plus_ms(self.terms.takeover_ms());
-                match take_at.has_passed_at(now) {
+            State::Following { check_at, .. } => LeaseTask::Wait(*check_at),
+            State::Unconfirmed => LeaseTask::Read,
+            State::Contending { seen, since } => {
+                let takeover_at = since.plus_ms(self.terms.takeover_ms());
+                match takeover_at.has_passed_at(now) {
                     true => LeaseTask::Write(self.takeover(seen)),
-                    false => LeaseTask::Wait(take_at),
+                    false => LeaseTask::Wait(takeover_at),
                 }
             }
-            Standing::Holds(held) if held.renew_at.has_passed_at(now) => {
+            State::Holding(held) if held.renew_at.has_passed_at(now) => {
                 LeaseTask::Write(held.renewal())
             }
-            Standing::Holds(held) => LeaseTask::Wait(held.renew_at),
+            State::Holding(held) => LeaseTask::Wait(held.renew_at),
         }
     }
 
-    /// Returns the right by which this process may give an order now.
+    /// Returns the tenure under which this process may give orders now, if it holds the
+    /// lease.
     pub fn tenure(&self, now: UnixMs) -> Option<Tenure> {
-        match &self.standing {
-            Standing::Holds(held) if !held.deadline.has_passed_at(now) => {
+        match &self.state {
+            State::Holding(held) if !held.deadline.has_passed_at(now) => {
                 Some(Tenure { era: held.seen.era, term: held.claim.term })
             }
             _ => None,
         }
     }
 
-    /// Takes over what a glance showed.
+    /// Processes the response to [`LeaseTask::Glance`].
     pub fn glanced(&mut self, seen: &SeenClaim, now: UnixMs) {
-        self.note_tenure(seen);
-        let Standing::Follows { last, look_at } = &mut self.standing else { return };
-        if seen.claim.is_none() || seen.claim == *last {
-            self.standing = Standing::Doubts;
+        self.record_tenure(seen);
+        let State::Following { last_seen, check_at } = &mut self.state else { return };
+        if seen.claim.is_none() || seen.claim == *last_seen {
+            self.state = State::Unconfirmed;
             return;
         }
-        *last = seen.claim.clone();
-        *look_at = now.plus_ms(LOOK_EVERY_MS);
+        *last_seen = seen.claim.clone();
+        *check_at = now.plus_ms(CHECK_INTERVAL_MS);
     }
 
-    /// Takes over what the store itself said, in an answer that came at `now`.
+    /// Processes the response to [`LeaseTask::Read`], received at `now`.
     pub fn read(&mut self, seen: SeenClaim, now: UnixMs) {
-        self.note_tenure(&seen);
-        if matches!(self.standing, Standing::Doubts) {
-            self.standing = Standing::Contends { seen, since: now };
+        self.record_tenure(&seen);
+        if matches!(self.state, State::Unconfirmed) {
+            self.state = State::Contending { seen, since: now };
         }
     }
 
-    /// Notes that a glance or a read was not answered.
+    /// Records that a [`LeaseTask::Glance`] or [`LeaseTask::Read`] got no response.
     pub fn unanswered(&mut self, now: UnixMs) {
         self.retry_at = now.plus_ms(RETRY_MS);
     }
 
-    /// Takes over what came of a write that was asked for at `asked_at`.
+    /// Processes the outcome of a write that was requested at `asked_at`.
     pub fn wrote(
         &mut self,
         write: ClaimWrite,
@@ -209,86 +216,91 @@
     ) {
         match outcome {
             WriteOutcome::Written(seen) => {
-                self.note_tenure(&seen);
-                self.written(write.claim, seen, asked_at);
+                self.record_tenure(&seen);
+                self.handle_written(write.claim, seen, asked_at);
             }
             WriteOutcome::Conflict(seen) => {
-                self.note_tenure(&seen);
-                self.conflicted(seen, now);
+                self.record_tenure(&seen);
+                self.handle_conflict(seen, now);
             }
             WriteOutcome::Unclear => {
                 self.retry_at = now.plus_ms(RETRY_MS);
-                match &mut self.standing {
-                    Standing::Holds(held) => held.unclear = Some(write.claim),
-                    _ => self.standing = Standing::Doubts,
+                match &mut self.state {
+                    State::Holding(held) => held.unconfirmed = Some(write.claim),
+                    _ => self.state = State::Unconfirmed,
                 }
             }
         }
     }
 
-    fn written(&mut self, claim: OrderClaim, seen: SeenClaim, asked_at: UnixMs) {
-        let known_era = match &self.standing {
-            Standing::Holds(held) => Some(held.seen.era),
-            Standing::Contends { seen, .. } => Some(seen.era),
+    fn handle_written(&mut self, claim: OrderClaim, seen: SeenClaim, asked_at: UnixMs) {
+        let known_era = match &self.state {
+            State::Holding(held) => Some(held.seen.era),
+            State::Contending { seen, .. } => Some(seen.era),
             _ => None,
         };
-        // The store came back from an older copy in between: what was written is the
-        // claim of an era that is over.
+        // The store was restored from an older backup in the meantime, so the written
+        // claim belongs to a past era.
         if known_era != Some(seen.era) {
-            self.standing = Standing::Doubts;
+            self.state = State::Unconfirmed;
             return;
         }
         let renew_ms = self.terms.lease_ms / RENEWALS_PER_LEASE;
-        self.standing = Standing::Holds(Held {
+        self.state = State::Holding(HeldClaim {
             seen,
             claim,
             deadline: asked_at.plus_ms(self.terms.lease_ms),
             renew_at: asked_at.plus_ms(renew_ms),
-            unclear: None,
+            unconfirmed: None,
         });
     }
 
-    fn conflicted(&mut self, found: SeenClaim, now: UnixMs) {
-        match &mut self.standing {
-            // Its own renewal, of which the answer was lost: nobody else's came between.
-            Standing::Holds(held) if held.wrote(&found) => {
-                held.claim = held.unclear.take().unwrap_or(held.claim.clone());
+    fn handle_conflict(&mut self, found: SeenClaim, now: UnixMs) {
+        match &mut self.state {
+            // This process's own renewal, whose response was lost; no other write
+            // intervened.
+            State::Holding(held) if held.is_own_renewal(&found) => {
+                held.claim = held.unconfirmed.take().unwrap_or(held.claim.clone());
                 held.seen = found;
             }
             _ if found.claim.is_some() => {
-                let look_at = now.plus_ms(LOOK_EVERY_MS);
-                self.standing = Standing::Follows { last: found.claim, look_at };
+                let check_at = now.plus_ms(CHECK_INTERVAL_MS);
+                self.state = State::Following { last_seen: found.claim, check_at };
             }
-            _ => self.standing = Standing::Doubts,
+            _ => self.state = State::Unconfirmed,
         }
     }
 
     fn takeover(&self, seen: &SeenClaim) -> ClaimWrite {
-        let claim =
-            OrderClaim { holder: self.own.clone(), term: self.last.term + 1, renewal: 0 };
+        let claim = OrderClaim {
+            holder: self.own_host.clone(),
+            term: self.highest.term + 1,
+            renewal: 0,
+        };
         ClaimWrite { era: seen.era, claim, expected_revision: seen.revision }
     }
 
-    fn note_tenure(&mut self, seen: &SeenClaim) {
+    fn record_tenure(&mut self, seen: &SeenClaim) {
         let term = seen.claim.as_ref().map_or(0, |claim| claim.term);
-        self.last.era = self.last.era.max(seen.era);
-        self.last.term = self.last.term.max(term);
+        self.highest.era = self.highest.era.max(seen.era);
+        self.highest.term = self.highest.term.max(term);
     }
 }
 
-impl Held {
+impl HeldClaim {
     fn renewal(&self) -> ClaimWrite {
         let next =
             || OrderClaim { renewal: self.claim.renewal + 1, ..self.claim.clone() };
         ClaimWrite {
             era: self.seen.era,
-            claim: self.unclear.clone().unwrap_or_else(next),
+            claim: self.unconfirmed.clone().unwrap_or_else(next),
             expected_revision: self.seen.revision,
         }
     }
 
-    fn wrote(&self, found: &SeenClaim) -> bool {
-        let is_unclear = self.unclear.is_some() && found.claim == self.unclear;
-        is_unclear && found.era == self.seen.era
+    /// Returns whether a stored claim is the renewal whose outcome is unknown.
+    fn is_own_renewal(&self, found: &SeenClaim) -> bool {
+        let is_same = self.unconfirmed.is_some() && found.claim == self.unconfirmed;
+        is_same && found.era == self.seen.era
     }
 }
--- a/crates/bilberry-core/src/outage.rs
+++ b/crates/bilberry-core/src/outage.rs
@@ -1,54 +1,55 @@
-//! When callers may come back to a service of which nothing lives.
+//! Retry advice for callers of a service with no running upstream.
 //!
-//! The load pattern: all upstreams of a service lose power together, for many
-//! seconds, while callers go on asking and each comes back once or twice within its
-//! patience. Sent back within a second, as fits a service that is only full, callers
-//! had used up their returns long before the first upstream was back. With this, 38%
-//! in place of 28% of the requests of sixteen such seconds were served, mean of four
-//! plays in which a quarter of all requests needed none of these upstreams.
+//! When all upstreams of a service lose power together for many seconds, callers keep
+//! sending requests, and each retries once or twice before its deadline. With a retry
+//! delay of less than a second, which suits a service that is merely overloaded, callers
+//! had used up their retries long before the first upstream was back. With the delays
+//! chosen here, 38% instead of 28% of the requests during sixteen seconds of such an
+//! outage were served (mean of four simulations, in which a quarter of all requests
+//! needed none of these upstreams).
 
 use crate::UnixMs;
 
-/// The least time after which a caller comes back.
-const LEAST_MS: u64 = 100;
+/// The minimum retry delay.
+const MIN_DELAY_MS: u64 = 100;
 
-/// The part of its patience after which a caller comes back at the latest, in percent.
+/// The maximum retry delay, as a percentage of the caller's remaining time.
 ///
-/// Callers follow the advice only up to a third of the time that they have left, and
-/// have a little less left than an entry knows of.
-const MOST_PERCENT: u64 = 32;
+/// Callers follow the advice only up to a third of their remaining time, which is
+/// slightly less than the entry assumes.
+const MAX_DELAY_PERCENT: u64 = 32;
 
-/// The part of the advice over which callers are spread, as a divisor.
+/// The divisor for the part of the retry delay over which callers are spread.
 ///
-/// Callers that waited together are refused together; a fifth of a few seconds keeps
-/// them from returning together.
+/// Callers that were queued together are rejected together; spreading them over a fifth
+/// of a few seconds keeps them from retrying simultaneously.
 const SPREAD_DIVISOR: u64 = 5;
 
-/// Since when nothing of one service has lived.
+/// Tracks since when a service has had no running upstream.
 #[derive(Debug, Default)]
 pub struct Outage {
     since: Option<UnixMs>,
 }
 
 impl Outage {
-    /// Notes whether any upstream of the service lives.
-    pub fn note(&mut self, now: UnixMs, any_lives: bool) {
-        self.since = match any_lives {
+    /// Records whether any upstream of the service is running.
+    pub fn note(&mut self, now: UnixMs, any_running: bool) {
+        self.since = match any_running {
             true => None,
             false => self.since.or(Some(now)),
         };
     }
 
-    /// Returns the least and the most time after which a caller that waits `left_ms`
-    /// longer may come back; `None` while something lives.
+    /// Returns the minimum and maximum retry delay for a caller with `left_ms` remaining,
+    /// or `None` while an upstream is running.
     ///
-    /// Nobody tells how long an outage lasts. One that has lasted for a time is taken
-    /// to last as long again: callers return soon at first, and as late as they may
-    /// once it has gone on for seconds.
+    /// The duration of an outage is unknown. An outage is expected to last as long again
+    /// as it has lasted so far, so callers retry early at first and as late as possible
+    /// once the outage has lasted for seconds.
     pub fn come_back_ms(&self, now: UnixMs, left_ms: u64) -> Option<(u64, u64)> {
         let lasted_ms = now.ms_since(self.since?);
-        let most_ms = (left_ms * MOST_PERCENT / 100).max(LEAST_MS);
-        let at_ms = lasted_ms.clamp(LEAST_MS, most_ms);
-        Some((at_ms - at_ms / SPREAD_DIVISOR, at_ms))
+        let max_ms = (left_ms * MAX_DELAY_PERCENT / 100).max(MIN_DELAY_MS);
+        let delay_ms = lasted_ms.clamp(MIN_DELAY_MS, max_ms);
+        Some((delay_ms - delay_ms / SPREAD_DIVISOR, delay_ms))
     }
 }
--- a/crates/bilberry-core/src/shared_watch.rs
+++ b/crates/bilberry-core/src/shared_watch.rs
@@ -1,93 +1,95 @@
-//! One watch of the platform's store that several processes share.
+//! A watch of the platform's store that is shared by several processes.
 //!
-//! The load pattern: every process that follows the store keeps a watch of its own for
-//! each kind, and each watch is a call that ends and is made anew; so calls grow with
-//! the fleet before anything happens. Where one process watches and tells the others,
-//! what it tells has to be worth as much as the store's own answer: nothing is missed,
-//! nothing comes twice, and what is said to be the newest was the newest then.
+//! If every process kept its own watch for each kind, the number of calls would grow with
+//! the fleet even without any changes, because each watch is a long poll that ends and is
+//! repeated. When one process, the hub, watches for the others, its replies must be as
+//! reliable as the store's own responses: no change is missed or repeated, and a state
+//! reported as current was current at the stated time.
 
 use crate::StorePosition;
 use crate::UnixMs;
 
-/// What one call to the store brought to the process that made it.
+/// The result of one watch call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Brought<T> {
     /// The position after which changes were asked for.
     pub from: StorePosition,
-    /// The position up to which all changes were told.
+    /// The position up to which all changes were reported.
     pub to: StorePosition,
-    /// The changes; `None` if there were none.
+    /// The changes, or `None` if there were none.
     pub news: Option<T>,
-    /// A moment at which the store had nothing more than this, by the caller's clock.
+    /// A time, by the caller's clock, at which the store had no further changes.
     pub known_at: UnixMs,
 }
 
-/// A question for what follows a revision, as it arrived at who shares a watch.
+/// A request to the hub for the changes after a position.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub struct WatchQuestion {
-    /// The position up to which the asker knows everything.
+    /// The position up to which the requester knows all changes.
     pub position: StorePosition,
-    /// When the question arrived.
+    /// When the request arrived at the hub.
     pub arrived_at: UnixMs,
 }
 
-/// What is told to one who asked.
+/// The hub's reply to a [`WatchQuestion`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchReply<T> {
-    /// Something changed.
+    /// There were changes.
     News {
         /// The position to ask from next.
         position: StorePosition,
         /// The changes.
         news: T,
-        /// How long after the question's arrival the store had nothing more than this;
-        /// negative if before.
+        /// The time at which the store had no further changes, relative to the request's
+        /// arrival; negative if earlier.
         known_ms: i64,
     },
-    /// Nothing changed.
+    /// There were no changes.
     Quiet {
         /// The position to ask from next.
         position: StorePosition,
-        /// How long after the question's arrival nothing had changed.
+        /// The time at which the store had no changes, relative to the request's arrival.
         known_ms: i64,
     },
-    /// The asker has to ask the store itself once.
+    /// The requester must call the store itself once.
     OutOfStep,
 }
 
 impl<T> Brought<T> {
-    /// Reports whether the store's era is the one that the call began in.
+    /// Returns whether the call began and ended in the same era.
     ///
-    /// If not, nothing follows from the answer but that another era has begun.
+    /// Otherwise the response only shows that another era has begun.
     pub fn is_of_one_era(&self) -> bool {
         self.from.era == self.to.era
     }
 }
 
 impl WatchQuestion {
-    /// Reports whether the asker lacks changes that were told before it asked.
+    /// Returns whether the requester lacks changes that were reported before its request.
     ///
-    /// `quiet_from` is the position of the last change told. All but the last are not kept
-    /// for later askers: one call to the store tells such an asker all of them, or that
-    /// another era has begun.
+    /// `quiet_from` is the position of the last reported change. The hub keeps only the
+    /// last result; a requester that is further behind makes one call to the store, which
+    /// returns all changes or shows that another era has begun.
     pub fn is_behind(&self, quiet_from: StorePosition) -> bool {
         self.position < quiet_from
     }
 
-    /// Reports whether the asker knows no eras, where the store that is watched at
-    /// `watched` tells them.
+    /// Returns whether the requester's position has no era although that of the watched
+    /// store has one.
     pub fn knows_no_era_of(&self, watched: StorePosition) -> bool {
         self.position.era.is_none() && watched.era.is_some()
     }
 
-    /// Returns what a call's outcome says to this question; `None` if the next one will.
+    /// Returns the reply that follows from a call's result, or `None` if the request must
+    /// wait for the next call.
     ///
-    /// An asker whose revision lies inside a batch of changes has seen some of them.
-    /// Told all, it would go back to an older state; told none, it would miss some.
+    /// A requester whose revision lies within a batch of changes has seen some of them.
+    /// Sending it the whole batch would take it back to an older state, and sending none
+    /// would miss some changes.
     ///
-    /// Across eras nothing is told: what followed a revision of one era says nothing of
-    /// the other, where the same number stands for another change. An asker of a later
-    /// era waits for a later call, one of an earlier era learns of it from the store.
+    /// Changes are not reported across eras, because the same revision number denotes
+    /// different changes in different eras. A requester in a later era waits for a later
+    /// call; one in an earlier era learns of the new era from the store.
     pub fn hear<T: Clone>(&self, brought: &Brought<T>) -> Option<WatchReply<T>> {
         let known_ms = signed_ms(brought.known_at, self.arrived_at);
         let position = brought.to;
@@ -100,19 +102,19 @@
                 Some(WatchReply::News { position, news: news.clone(), known_ms })
             }
             Some(_) => Some(WatchReply::OutOfStep),
-            // Of a moment before the question it would confirm less than the asker has
-            // a right to expect of its question.
+            // A time before the request's arrival would confirm less than a call by the
+            // requester itself.
             None if known_ms < 0 => None,
             None => Some(WatchReply::Quiet { position, known_ms }),
         }
     }
 }
 
-/// Returns for which moment a reply counts, by the clock of the process that asked.
+/// Returns the time for which a reply is valid, by the clock of the requester.
 ///
-/// The question arrived no sooner than it was asked, so `known_ms` after `asked_at` is
-/// no later than the moment that is meant, however long question and reply travelled
-/// and whatever the other clock shows. Only that both clocks run equally fast is used.
+/// A request arrives no earlier than it is sent at `asked_at`, so `known_ms` after
+/// `asked_at` is never later than the actual time, regardless of network delays and clock
+/// offset. The only assumption is that both clocks run at the same rate.
 pub fn known_at(asked_at: UnixMs, known_ms: i64, now: UnixMs) -> UnixMs {
     UnixMs(asked_at.0.saturating_add_signed(known_ms)).min(now)
 }
--- a/crates/bilberry-core/src/store_position.rs
+++ b/crates/bilberry-core/src/store_position.rs
@@ -1,62 +1,63 @@
-//! Where a process stands in the history of the platform's store.
+//! Positions in the history of the platform's store.
 //!
-//! The load pattern: the store is away for a moment and comes back from a copy some
-//! seconds old. Revisions go back and are given out again, so one and the same number
-//! stands for two histories: a follower that goes by revisions alone waits for one that
-//! never comes, or passes over changes that took numbers it has seen.
+//! After a short outage the store may be restored from a backup some seconds old.
+//! Revision numbers then go back and are reused, so the same number can belong to two
+//! histories. A follower that compared only revisions would wait for one that never
+//! comes, or skip changes whose revision numbers it has already seen.
 
 use crate::UnixMs;
 
-/// A position in the store's history; one of a later era is later, whatever its revision.
+/// A position in the store's history, ordered by era and then by revision.
 #[derive(Debug, Copy, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StorePosition {
-    /// How often the store has come back from an older copy, or a number that rises with
-    /// it; `None` where the store tells none.
+    /// The number of restores of the store from an older backup, or another number that
+    /// increases with each restore; `None` if the store reports no era.
     pub era: Option<u64>,
     /// The revision within the era.
     pub revision: u64,
 }
 
-/// Up to where a follower knows everything.
+/// The position up to which a follower knows all changes.
 ///
-/// A change of era has it forget the position; what was learnt before is not its matter.
+/// A change of era discards the position. Data read before the change is not managed
+/// here.
 #[derive(Debug, Default)]
 pub struct StoreCursor {
     known: Option<StorePosition>,
-    is_lost: bool,
+    needs_list: bool,
 }
 
-/// What an answer's era says of the answer.
+/// How the era of a response compares with the known era.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum EraTold {
-    /// It is of the era that is known, or nobody can tell.
+    /// The response belongs to the known era, or its era is unknown.
     Present,
-    /// It is the first of a later era; all must be listed.
+    /// The response is the first of a later era, so a full list is required.
     Entered(EraEntered),
-    /// It is of an era that is over, and came late.
+    /// The response is stale and belongs to an earlier era.
     Over,
 }
 
-/// A change of era, as one follower notices it.
+/// A change of era, as detected by one follower.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub struct EraEntered {
     /// The era that has begun.
     pub era: Option<u64>,
-    /// The position that was given up; `None` if nothing had been read yet.
+    /// The discarded position; `None` if nothing had been read yet.
     pub left: Option<StorePosition>,
-    /// When it was noticed.
+    /// When the change was detected.
     pub noticed_at: UnixMs,
 }
 
 impl StoreCursor {
-    /// Returns from where to watch on; `None` if all must be listed.
+    /// Returns the position to watch from, or `None` if a full list is required.
     pub fn position(&self) -> Option<StorePosition> {
-        self.known.filter(|_| !self.is_lost)
+        self.known.filter(|_| !self.needs_list)
     }
 
-    /// Takes over the era of an answer that came at `now`.
+    /// Updates the era from a response received at `now`.
     ///
-    /// An answer that names none is taken to be of the era that is known.
+    /// A response without an era is assumed to belong to the known era.
     pub fn hear(&mut self, era: Option<u64>, now: UnixMs) -> EraTold {
         let known_era = self.known.and_then(|known| known.era);
         if era.is_none() || era == known_era {
@@ -66,19 +67,19 @@
             return EraTold::Over;
         }
         let left = self.known.replace(StorePosition { era, revision: 0 });
-        self.is_lost = true;
+        self.needs_list = true;
         EraTold::Entered(EraEntered { era, left, noticed_at: now })
     }
 
-    /// Notes that everything is known up to a revision of the present era.
+    /// Records that all changes up to a revision of the current era are known.
     pub fn advance(&mut self, revision: u64) {
         let era = self.known.and_then(|known| known.era);
         self.known = Some(StorePosition { era, revision });
-        self.is_lost = false;
+        self.needs_list = false;
     }
 
-    /// Notes that all must be listed.
+    /// Records that a full list is required.
     pub fn lose(&mut self) {
-        self.is_lost = true;
+        self.needs_list = true;
     }
 }
--- a/crates/bilberry-core/src/time.rs
+++ b/crates/bilberry-core/src/time.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A point in time; deadlines are stored as this and never as durations.
+/// A point in time. Deadlines are stored as points in time, never as durations.
 #[derive(
     Debug,
     Copy,
@@ -28,22 +28,22 @@
 pub struct UnixMs(pub u64);
 
 impl UnixMs {
-    /// Returns the point `ms` later.
+    /// Returns the point in time `ms` later.
     pub fn plus_ms(self, ms: u64) -> Self {
         Self(self.0.saturating_add(ms))
     }
 
-    /// Returns how far `self` lies after `earlier`, or zero.
+    /// Returns the time from `earlier` to `self`, or zero if `earlier` is later.
     pub fn ms_since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// Returns the time left from `now` until this deadline.
+    /// Returns the time from `now` until this deadline, or zero if it has passed.
     pub fn left(self, now: Self) -> Duration {
         Duration::from_millis(self.ms_since(now))
     }
 
-    /// Reports whether this deadline has passed.
+    /// Returns whether this deadline has passed at `now`.
     pub fn has_passed_at(self, now: Self) -> bool {
         now >= self
     }
@@ -55,26 +55,25 @@
     }
 }
 
-/// A source of the present time.
+/// A source of the current time.
 pub trait Clock: Clone + Send + Sync + 'static {
-    /// Returns the present time.
+    /// Returns the current time.
     fn now(&self) -> UnixMs;
 }
 
-/// A clock that neither jumps nor stops.
+/// A clock that neither jumps nor stops while the host is suspended.
 ///
-/// It starts at the time of day and then counts what the kernel says has passed,
-/// including the time for which the host was suspended. With the time of day, a
-/// step forward would void every lease at once and a step back would stretch it;
-/// with the steady clock, a host that wakes would go on trusting what it read
-/// before it slept.
+/// It starts at the wall-clock time and then advances with the kernel's boot-time clock,
+/// which includes time in suspend. With the wall clock, a forward step would expire every
+/// lease at once and a backward step would extend it. With the monotonic clock, a resumed
+/// host would still trust data that it read before the suspend.
 #[derive(Debug, Copy, Clone)]
 pub struct BootClock {
     unix_at_boot_ms: u64,
 }
 
 impl BootClock {
-    /// Creates a clock that agrees with the time of day now.
+    /// Creates a clock that starts at the current wall-clock time.
     pub fn new() -> Self {
         let unix_at_boot_ms = SystemClock.now().0.saturating_sub(since_boot_ms());
         Self { unix_at_boot_ms }
@@ -94,13 +93,13 @@
 }
 
 fn since_boot_ms() -> u64 {
-    // The call only fails on kernels without the clock; zero then freezes time,
-    // which no supported kernel does.
+    // The call fails only on kernels without this clock, none of which are supported. The
+    // fallback of zero would stop the clock.
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from);
     time.unwrap_or_default().as_millis() as u64
 }
 
-/// The clock of the operating system.
+/// The wall clock of the operating system.
 #[derive(Debug, Copy, Clone, Default)]
 pub struct SystemClock;
 
--- a/crates/bilberry-core/src/watch_hub.rs
+++ b/crates/bilberry-core/src/watch_hub.rs
@@ -1,43 +1,47 @@
-//! Which process watches the store for the others.
+//! Selection of the process that watches the store for the others.
 
 use crate::Name;
 use crate::home;
 
-/// How many entries a data centre has to have before they share a watch.
+/// The minimum number of entries in a data centre for a shared watch.
 ///
-/// A hub watches more often than an entry that watches for itself, as its failure has
-/// to be noticed in time by others; with fewer than four askers it saves no calls.
-const FEWEST_ENTRIES: usize = 4;
+/// A hub calls the store more often than an entry with its own watch, because other
+/// processes must detect its failure in time. With fewer than four entries it saves no
+/// calls.
+const MIN_ENTRIES_PER_PLACE: usize = 4;
 
-/// One process that could watch for others.
+/// A process that can watch the store for others.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HubCandidate {
-    /// Its data centre.
+    /// The data centre of the process.
     pub place: Name,
-    /// A hash of its address.
+    /// A hash of the process's address.
     pub seed: u64,
 }
 
-/// Returns the position of the hub for an entry in `place`; `None` to watch alone.
+/// Returns the index of the hub for an entry in `place`, or `None` if the entry must
+/// watch the store itself.
 ///
-/// Nothing is agreed: all entries of a data centre that reach the same candidates
-/// choose the same one, and two hubs for a while cost a few calls and nothing else.
+/// The choice needs no coordination: all entries of a data centre that see the same
+/// candidates choose the same hub. Two hubs at a time only cost a few extra calls.
 pub fn choose_hub(
     place: &Name,
     candidates: &[HubCandidate],
     entries: usize,
 ) -> Option<usize> {
-    let mut places: Vec<&Name> = candidates.iter().map(|found| &found.place).collect();
+    let mut places: Vec<&Name> =
+        candidates.iter().map(|candidate| &candidate.place).collect();
     places.sort_unstable();
     places.dedup();
-    if entries < FEWEST_ENTRIES * places.len() {
+    if entries < MIN_ENTRIES_PER_PLACE * places.len() {
         return None;
     }
-    let near = |at: &usize| candidates[*at].place == *place;
-    let near: Vec<usize> = (0..candidates.len()).filter(near).collect();
-    let seeds: Vec<u64> = near.iter().map(|&at| candidates[at].seed).collect();
-    home(HUB_HASH, &seeds).map(|at| near[at])
+    let is_local = |at: &usize| candidates[*at].place == *place;
+    let local: Vec<usize> = (0..candidates.len()).filter(is_local).collect();
+    let seeds: Vec<u64> = local.iter().map(|&at| candidates[at].seed).collect();
+    home(HUB_RANKING_KEY, &seeds).map(|at| local[at])
 }
 
-/// What hubs are ranked by; any number does that all entries agree on.
-const HUB_HASH: u64 = 1;
+/// The key for ranking hubs; it must be the same at all entries and is otherwise
+/// arbitrary.
+const HUB_RANKING_KEY: u64 = 1;
