--- a/crates/bilberry-core/tests/crash_ledger.rs
+++ b/crates/bilberry-core/tests/crash_ledger.rs
@@ -1,4 +1,4 @@
-//! What crashes of servers say of the requests that ran there.
+//! Attribution of server crashes to the requests that were running.
 
 use bilberry_core::CrashLedger;
 use bilberry_core::CrashReport;
@@ -65,43 +65,43 @@
 }
 
 #[test]
-fn a_request_that_ran_beside_a_crashing_one_is_sent_again() {
-    let (crashing, beside) = (1, 2);
+fn a_request_that_ran_next_to_a_crashing_one_is_only_suspect() {
+    let (crashing, unrelated) = (1, 2);
     let mut ledger = CrashLedger::default();
     for server in 0..4 {
         ledger.merge(crash(crashing, server), NOW);
     }
     for server in 0..3 {
-        ledger.merge(crash(beside, server), NOW);
+        ledger.merge(crash(unrelated, server), NOW);
     }
     assert!(is_quarantined(&ledger, crashing, NOW));
-    assert_eq!(ledger.standing(RequestKey(beside), NOW), Standing::Suspect);
+    assert_eq!(ledger.standing(RequestKey(unrelated), NOW), Standing::Suspect);
 }
 
 #[test]
 fn of_requests_with_the_same_crashes_the_one_with_the_shortest_mean_run_is_rejected() {
-    let (crashing, beside) = (9, 1);
+    let (crashing, unrelated) = (9, 1);
     let crashes = (0..3).flat_map(|server| {
         [
             crash_after(crashing, server, 40),
-            crash_after(beside, server, 100 * server + 90),
+            crash_after(unrelated, server, 100 * server + 90),
         ]
     });
     let ledger = ledger(&crashes.collect::<Vec<_>>());
     assert!(is_quarantined(&ledger, crashing, NOW));
-    assert_eq!(ledger.standing(RequestKey(beside), NOW), Standing::Suspect);
+    assert_eq!(ledger.standing(RequestKey(unrelated), NOW), Standing::Suspect);
 }
 
 #[test]
 fn a_quarantine_is_pending_until_reports_on_other_requests_can_arrive() {
-    let (crashing, beside) = (RequestKey(9), RequestKey(1));
+    let (crashing, unrelated) = (RequestKey(9), RequestKey(1));
     let mut ledger = ledger(&[crash(1, 1), crash(1, 2), crash(1, 3)]);
-    assert!(ledger.is_quarantine_pending(beside, NOW));
-    assert!(!ledger.is_quarantine_pending(beside, NOW.plus_ms(300)));
+    assert!(ledger.is_quarantine_pending(unrelated, NOW));
+    assert!(!ledger.is_quarantine_pending(unrelated, NOW.plus_ms(300)));
     (1..5).for_each(|server| {
         ledger.merge(crash(crashing.0, server), NOW.plus_ms(100));
     });
-    assert!(!ledger.is_quarantine_pending(beside, NOW.plus_ms(100)));
+    assert!(!ledger.is_quarantine_pending(unrelated, NOW.plus_ms(100)));
     assert!(ledger.is_quarantine_pending(crashing, NOW.plus_ms(100)));
 }
 
@@ -114,17 +114,17 @@
 }
 
 #[test]
-fn two_witnesses_of_one_crash_count_once() {
+fn repeated_reports_of_one_crash_count_once() {
     let ledger = ledger(&[crash(1, 7), crash(1, 7), crash(1, 7)]);
     assert_eq!(ledger.standing(RequestKey(1), NOW), Standing::Good);
 }
 
 #[test]
-fn a_request_that_ran_to_its_end_is_not_blamed_for_crashes_before() {
+fn a_completed_request_is_not_blamed_for_earlier_crashes() {
     let mut ledger = ledger(&[crash(1, 1), crash(1, 2), crash(1, 3)]);
     assert_eq!(ledger.void_crashes(RequestKey(1)).len(), 3);
     assert_eq!(ledger.standing(RequestKey(1), NOW), Standing::Good);
-    assert!(!ledger.merge(crash(1, 2), NOW), "a late witness of a void crash");
+    assert!(!ledger.merge(crash(1, 2), NOW), "a late report of a void crash");
     (4..7).for_each(|server| {
         ledger.merge(crash(1, server), NOW);
     });
@@ -135,7 +135,7 @@
 fn one_more_crash_after_a_quarantine_rejects_the_request_again() {
     let mut ledger = ledger(&[crash(1, 1), crash(1, 2), crash(1, 3)]);
     let Standing::Quarantined { until } = ledger.standing(RequestKey(1), NOW) else {
-        panic!("it is in quarantine");
+        panic!("the request should be quarantined");
     };
     assert_eq!(ledger.standing(RequestKey(1), until), Standing::Suspect);
     ledger.merge(crash(1, 4), until);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_flood_of_other_requests_ends_no_quarantine() {
+fn a_quarantine_survives_reports_on_many_other_requests() {
     let mut ledger = ledger(&[crash(1, 1), crash(1, 2), crash(1, 3)]);
     for request in 2..100_000 {
         ledger.merge(crash(request, 1), NOW.plus_ms(request / 100));
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn crashes_are_forgotten_an_hour_after_the_last() {
+fn crashes_expire_an_hour_after_the_last() {
     let mut ledger = ledger(&[crash(1, 1), crash(1, 2), crash(1, 3)]);
     let later = NOW.plus_ms(3_600_000);
     assert_eq!(ledger.standing(RequestKey(1), later), Standing::Good);
@@ -192,7 +192,9 @@
     }
 
     #[test]
-    fn a_relayed_ledger_judges_as_the_one_it_came_from(reports in vec(report(), 0..40)) {
+    fn a_relayed_ledger_gives_the_same_standings_as_the_original(
+        reports in vec(report(), 0..40),
+    ) {
         let first = ledger(&reports);
         let second = ledger(&first.reports(NOW));
         for request in 0..4 {
--- a/crates/bilberry-core/tests/crash_ledger_beside.rs
+++ b/crates/bilberry-core/tests/crash_ledger_beside.rs
@@ -1,6 +1,8 @@
-//! A model in which many callers repeat one request while another one crashes servers.
+//! A simulation in which many callers repeat one request while another one crashes
+//! servers.
 //!
-//! Guards against a quarantine of the repeated request, which the same crashes interrupt.
+//! Guards against quarantining the repeated request, which is interrupted by the same
+//! crashes.
 
 use bilberry_core::CrashLedger;
 use bilberry_core::CrashReport;
@@ -54,9 +56,9 @@
 struct Server {
     seed: u64,
     /// The number of restarts so far.
-    start: u64,
-    /// When the server is up again after its last crash.
-    restarted_ms: u64,
+    incarnation: u64,
+    /// When the server has restarted after its last crash.
+    restarted_at_ms: u64,
     runs: Vec<Run>,
 }
 
@@ -73,7 +75,7 @@
     repeated: RequestKey,
     /// How long the crashing request runs before its server crashes.
     crashes_after_ms: u64,
-    /// How long the repeated request runs to its end.
+    /// How long the repeated request runs until it completes.
     repeated_run_ms: u64,
     servers: Vec<Server>,
     entries: Vec<Entry>,
@@ -197,7 +199,7 @@
 
     fn choose_server(&mut self, standing: Standing) -> Option<usize> {
         let up: Vec<usize> = (0..SERVERS)
-            .filter(|at| self.servers[*at].restarted_ms <= self.now_ms)
+            .filter(|at| self.servers[*at].restarted_at_ms <= self.now_ms)
             .collect();
         match standing {
             Standing::Suspect => {
@@ -236,9 +238,9 @@
     fn crash(&mut self, server: usize, interrupted: Vec<Run>) {
         self.crashes_ms.push(self.now_ms);
         let crashed = &mut self.servers[server];
-        let server_hash = crashed.seed ^ crashed.start;
-        crashed.start += 1;
-        crashed.restarted_ms = self.now_ms + RESTART_MS;
+        let server_hash = crashed.seed ^ crashed.incarnation;
+        crashed.incarnation += 1;
+        crashed.restarted_at_ms = self.now_ms + RESTART_MS;
         for run in interrupted {
             let ran_ms = self.now_ms - run.began_ms;
             let Run { request, entry, caller, .. } = run;
--- a/crates/bilberry-core/tests/crash_ledger_model.rs
+++ b/crates/bilberry-core/tests/crash_ledger_model.rs
@@ -1,4 +1,4 @@
-//! A model of entries and relays that crash, restart and receive late.
+//! A simulation of entries and relays that restart and receive reports late.
 
 use bilberry_core::CrashLedger;
 use bilberry_core::CrashReport;
@@ -19,40 +19,41 @@
 const ENTRIES: usize = 4;
 const RELAYS: usize = 3;
 const STEP_MS: u64 = 10;
-const RUN_MS: u64 = 60_000;
+const SIMULATION_MS: u64 = 60_000;
 
-/// The time between two arrivals of the request, each at any entry.
-const ARRIVES_EVERY_MS: u64 = 150;
+/// The time between two arrivals of the crashing request, each at a random entry.
+const ARRIVAL_INTERVAL_MS: u64 = 150;
 
-/// How long after a send its server's crash is confirmed, at most.
-const CONFIRMED_WITHIN_MS: u64 = 200;
+/// The maximum time from sending a request to the confirmation of the server's crash.
+const MAX_CONFIRMATION_MS: u64 = 200;
 
-/// How long a notice takes, or a new connection until it has replayed all reports.
-const MOST_DELAY_MS: u64 = 500;
+/// The maximum delay of a report, and of the replay of all reports on a new connection.
+const MAX_DELAY_MS: u64 = 500;
 
-/// From when after the third crash, or its own start, an entry is in touch.
+/// How long after the third crash, or after its own start, an entry must know all
+/// reports.
 const CONTACT_MS: u64 = 3_000;
 
-/// How many sends are allowed later than that.
-const MOST_LATER: usize = 3;
+/// How many sends are allowed after that time.
+const MAX_LATE_SENDS: usize = 3;
 
-/// Something that takes effect at a certain time.
+/// A scheduled event.
 #[derive(Debug, Clone)]
 enum Event {
-    /// The crash of a server that an entry sent the request to is confirmed there.
-    Crash { entry: usize, start: u64, server: u64 },
+    /// An entry confirms the crash of a server to which it sent the request.
+    Crash { entry: usize, incarnation: u64, server: u64 },
     /// Reports reach a relay.
     AtRelay { relay: usize, reports: Vec<CrashReport> },
     /// Reports reach an entry.
-    AtEntry { entry: usize, start: u64, reports: Vec<CrashReport> },
+    AtEntry { entry: usize, incarnation: u64, reports: Vec<CrashReport> },
 }
 
 #[derive(Debug, Default)]
 struct Entry {
     ledger: CrashLedger,
-    started_ms: u64,
-    /// Its starts so far; what is meant for an earlier one is lost.
-    start: u64,
+    started_at_ms: u64,
+    /// The number of restarts so far; events for an earlier incarnation are dropped.
+    incarnation: u64,
 }
 
 struct Model {
@@ -62,7 +63,7 @@
     relays: Vec<CrashLedger>,
     events: Vec<(u64, Event)>,
     crashes_ms: Vec<u64>,
-    later: usize,
+    late_sends: usize,
 }
 
 impl Model {
@@ -74,7 +75,7 @@
             relays: (0..RELAYS).map(|_| CrashLedger::default()).collect(),
             events: Vec::new(),
             crashes_ms: Vec::new(),
-            later: 0,
+            late_sends: 0,
         }
     }
 
@@ -82,23 +83,24 @@
         UnixMs(self.now_ms)
     }
 
-    fn later(&mut self, most_ms: u64, event: Event) {
-        let at_ms = self.now_ms + self.random.random_range(STEP_MS..=most_ms);
+    fn schedule(&mut self, max_delay_ms: u64, event: Event) {
+        let at_ms = self.now_ms + self.random.random_range(STEP_MS..=max_delay_ms);
         self.events.push((at_ms, event));
     }
 
     fn run(mut self) -> usize {
-        let end_ms = self.now_ms + RUN_MS;
+        let end_ms = self.now_ms + SIMULATION_MS;
         while self.now_ms < end_ms {
             self.now_ms += STEP_MS;
             let now_ms = self.now_ms;
             let due: Vec<_> =
                 self.events.extract_if(.., |(at_ms, _)| *at_ms <= now_ms).collect();
             due.into_iter().for_each(|(_, event)| self.handle(event));
-            if now_ms.is_multiple_of(ARRIVES_EVERY_MS) {
+            if now_ms.is_multiple_of(ARRIVAL_INTERVAL_MS) {
                 self.arrive();
             }
-            // One process at a time loses its memory, as those that last replay it.
+            // Only one process at a time loses its state, so that the others can replay
+            // it.
             if self.random.random_ratio(1, 400) {
                 self.restart_entry();
             }
@@ -106,31 +108,32 @@
                 self.restart_relay();
             }
         }
-        self.later
+        self.late_sends
     }
 
-    /// The request arrives at an entry, which sends it unless it is in quarantine.
+    /// Lets the request arrive at a random entry, which sends it unless it is
+    /// quarantined.
     fn arrive(&mut self) {
         let entry = self.random.random_range(0..ENTRIES);
         let now = self.now();
-        let Entry { ledger, started_ms, start } = &self.entries[entry];
-        let start = *start;
+        let Entry { ledger, started_at_ms, incarnation } = &self.entries[entry];
+        let incarnation = *incarnation;
         if matches!(ledger.standing(CRASHING, now), Standing::Quarantined { .. }) {
             return;
         }
         let third_ms = self.crashes_ms.get(2).copied().unwrap_or(u64::MAX);
-        let in_touch_from_ms = third_ms.max(*started_ms).saturating_add(CONTACT_MS);
-        self.later += usize::from(self.now_ms > in_touch_from_ms);
+        let late_after_ms = third_ms.max(*started_at_ms).saturating_add(CONTACT_MS);
+        self.late_sends += usize::from(self.now_ms > late_after_ms);
         let server = self.random.random();
         self.crashes_ms.push(self.now_ms);
-        self.later(CONFIRMED_WITHIN_MS, Event::Crash { entry, start, server });
+        self.schedule(MAX_CONFIRMATION_MS, Event::Crash { entry, incarnation, server });
     }
 
     fn handle(&mut self, event: Event) {
         let now = self.now();
         match event {
-            Event::Crash { entry, start, server } => {
-                if self.entries[entry].start != start {
+            Event::Crash { entry, incarnation, server } => {
+                if self.entries[entry].incarnation != incarnation {
                     return;
                 }
                 let report =
@@ -138,20 +141,23 @@
                 self.entries[entry].ledger.merge(report, now);
                 for relay in 0..RELAYS {
                     let reports = vec![report];
-                    self.later(MOST_DELAY_MS, Event::AtRelay { relay, reports });
+                    self.schedule(MAX_DELAY_MS, Event::AtRelay { relay, reports });
                 }
             }
             Event::AtRelay { relay, mut reports } => {
                 reports.retain(|report| self.relays[relay].merge(*report, now));
                 for entry in 0..ENTRIES {
-                    let start = self.entries[entry].start;
+                    let incarnation = self.entries[entry].incarnation;
                     let reports = reports.clone();
-                    self.later(MOST_DELAY_MS, Event::AtEntry { entry, start, reports });
+                    self.schedule(
+                        MAX_DELAY_MS,
+                        Event::AtEntry { entry, incarnation, reports },
+                    );
                 }
             }
-            Event::AtEntry { entry, start, reports } => {
+            Event::AtEntry { entry, incarnation, reports } => {
                 let entry = &mut self.entries[entry];
-                if entry.start == start {
+                if entry.incarnation == incarnation {
                     reports.into_iter().for_each(|report| {
                         entry.ledger.merge(report, now);
                     });
@@ -160,25 +166,26 @@
         }
     }
 
-    /// An entry loses its memory; relays replay what they know as it connects.
+    /// Restarts an entry without its state; the relays replay all reports when it
+    /// connects.
     fn restart_entry(&mut self) {
         let entry = self.random.random_range(0..ENTRIES);
-        let start = self.entries[entry].start + 1;
+        let incarnation = self.entries[entry].incarnation + 1;
         let ledger = CrashLedger::default();
-        self.entries[entry] = Entry { ledger, started_ms: self.now_ms, start };
+        self.entries[entry] = Entry { ledger, started_at_ms: self.now_ms, incarnation };
         for relay in 0..RELAYS {
             let reports = self.relays[relay].reports(self.now());
-            self.later(MOST_DELAY_MS, Event::AtEntry { entry, start, reports });
+            self.schedule(MAX_DELAY_MS, Event::AtEntry { entry, incarnation, reports });
         }
     }
 
-    /// A relay loses its memory; entries repeat what they know of suspects.
+    /// Restarts a relay without its state; the entries replay their reports on suspects.
     fn restart_relay(&mut self) {
         let relay = self.random.random_range(0..RELAYS);
         self.relays[relay] = CrashLedger::default();
         for entry in 0..ENTRIES {
             let reports = self.entries[entry].ledger.reports_on_suspects(self.now());
-            self.later(MOST_DELAY_MS, Event::AtRelay { relay, reports });
+            self.schedule(MAX_DELAY_MS, Event::AtRelay { relay, reports });
         }
     }
 }
@@ -187,8 +194,10 @@
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_crashing_request_is_sent_three_times_at_most_by_entries_in_touch(seed in any::<u64>()) {
-        let later = Model::new(seed).run();
-        prop_assert!(later <= MOST_LATER, "{} sends later", later);
+    fn entries_send_a_crashing_request_at_most_three_times_after_the_contact_time(
+        seed in any::<u64>(),
+    ) {
+        let late_sends = Model::new(seed).run();
+        prop_assert!(late_sends <= MAX_LATE_SENDS, "{late_sends} late sends");
     }
 }
--- a/crates/bilberry-core/tests/lapses.rs
+++ b/crates/bilberry-core/tests/lapses.rs
@@ -1,4 +1,4 @@
-//! Which servers are still used that the list no longer names.
+//! Continued use of servers that are missing from the list after an outage.
 
 use bilberry_core::Lapses;
 use bilberry_core::Name;
@@ -7,20 +7,20 @@
 
 const HEARTBEAT_MS: u64 = 1_200;
 
-/// Lapses after an outage from 10,000 to `back_ms`.
-fn after_outage(back_ms: u64) -> Lapses {
+/// Returns the state after an outage from 10,000 to `recovered_ms`.
+fn after_outage(recovered_ms: u64) -> Lapses {
     let mut lapses = Lapses::new(HEARTBEAT_MS);
     lapses.note_answer(UnixMs(9_000));
     lapses.note_lost(UnixMs(10_000));
     lapses.note_lost(UnixMs(11_000));
-    lapses.note_answer(UnixMs(back_ms));
+    lapses.note_answer(UnixMs(recovered_ms));
     lapses
 }
 
 #[test]
-fn a_server_missing_after_an_outage_has_time_to_come_back() {
-    // Callers would be crowded onto the few servers that renewed their entries first,
-    // if all whose entries lapsed in the outage were given up at once.
+fn a_server_missing_after_an_outage_has_a_grace_period() {
+    // If all servers whose entries expired in the outage were removed at once, the load
+    // would move to the few servers that re-registered first.
     let mut lapses = after_outage(20_000);
     let until = UnixMs(21_900);
     assert_eq!(lapses.remove(&"a".into(), UnixMs(20_010)), Removal::At(until));
@@ -35,9 +35,10 @@
 }
 
 #[test]
-fn looking_again_gives_a_missing_server_no_more_time() {
-    // A server that left would be used for as long as the list is read anew every
-    // two seconds: each reading finds it missing once more.
+fn listing_again_does_not_extend_the_grace_period() {
+    // The list is read again every two seconds and lacks the server each time. If each
+    // read restarted the grace period, a server that shut down would be used
+    // indefinitely.
     let mut lapses = after_outage(20_000);
     let left = Name::from("left");
     let first = lapses.remove(&left, UnixMs(20_010));
@@ -46,12 +47,12 @@
 }
 
 #[test]
-fn a_call_that_fails_once_makes_no_entry_lapse() {
-    // A server that leaves beside one cut watch gets no more work at once: nothing
-    // lapses in two seconds, so what is missing has left.
+fn a_single_failed_call_does_not_count_as_an_outage() {
+    // A server that shuts down while one watch is interrupted must be removed at once. No
+    // entry expires within two seconds, so a missing server has deregistered.
     let mut lapses = after_outage(10_000 + 2 * HEARTBEAT_MS - 1);
     assert_eq!(lapses.remove(&"left".into(), UnixMs(12_500)), Removal::Now);
-    // A watch that fell silent takes longer to be given up, and is one call all the same.
+    // A stalled watch takes longer to time out, but still counts as one call.
     let mut lapses = Lapses::new(HEARTBEAT_MS);
     for round in 0..5 {
         lapses.note_lost(UnixMs(10_000 + round * 2_700));
@@ -61,9 +62,9 @@
 }
 
 #[test]
-fn another_outage_gives_the_time_anew_and_a_failed_call_does_not() {
-    // The store comes back for a second, too short for servers to renew their
-    // entries, and goes away again. They have their time from its last return on.
+fn only_another_outage_restarts_the_grace_period() {
+    // The store recovers for a second, too short for servers to renew their entries, and
+    // fails again. The grace period starts at the last recovery.
     let mut lapses = after_outage(20_000);
     lapses.remove(&"a".into(), UnixMs(20_010));
     lapses.note_lost(UnixMs(21_000));
--- a/crates/bilberry-core/tests/order_lease.rs
+++ b/crates/bilberry-core/tests/order_lease.rs
@@ -1,4 +1,4 @@
-//! Who gives orders to engines that have no sidecar.
+//! The lease for giving orders to engines without a sidecar.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -20,11 +20,11 @@
 
 const TERMS: LeaseTerms = LeaseTerms { lease_ms: 3_000, order_ms: 500 };
 
-/// How long a process waits for an answer of the store.
-const CALL_MS: u64 = 500;
+/// The timeout of a call to the store.
+const CALL_TIMEOUT_MS: u64 = 500;
 
-/// How long one run lasts.
-const RUN_MS: u64 = 120_000;
+/// The duration of a simulation.
+const SIMULATION_MS: u64 = 120_000;
 
 /// A store with one claim for each era.
 #[derive(Debug, Clone, Default)]
@@ -73,26 +73,31 @@
 
 #[derive(Debug, Clone)]
 enum Event {
-    /// A process has nothing under way and looks what to do.
-    Wakes { process: usize },
-    /// A call is carried out at the store.
-    Runs { process: usize, call_number: u64, call: Call, answer_in_ms: Option<u64> },
-    /// An answer reaches its process.
-    Answered { process: usize, call_number: u64, reply: Reply },
-    /// A process gives a call up.
-    GivenUp { process: usize, call_number: u64, call: Call },
-    /// The store comes back from a copy of some seconds ago.
-    GoesBack { age_ms: u64 },
+    /// A process without a pending call checks its next task.
+    Wake { process: usize },
+    /// The store executes a call.
+    Execute {
+        process: usize,
+        call_number: u64,
+        call: Call,
+        response_delay_ms: Option<u64>,
+    },
+    /// A response reaches its process.
+    Response { process: usize, call_number: u64, reply: Reply },
+    /// A call times out at its process.
+    Timeout { process: usize, call_number: u64, call: Call },
+    /// The store is restored from a backup some seconds old.
+    Restore { age_ms: u64 },
 }
 
 struct Process {
     lease: OrderLease,
-    /// How far its clock is from the true time.
-    ahead_ms: u64,
-    stands_still_until: u64,
+    /// The offset of the process's clock from the true time.
+    clock_offset_ms: u64,
+    paused_until_ms: u64,
     call_number: u64,
     asked_at: UnixMs,
-    is_asking: bool,
+    has_pending_call: bool,
 }
 
 #[derive(Debug, Copy, Clone)]
@@ -102,21 +107,21 @@
     fence: u64,
 }
 
-/// What goes wrong, each with how often in a hundred.
+/// The injected faults, with their probabilities in percent.
 #[derive(Debug, Copy, Clone)]
-struct Troubles {
-    stand_still: u32,
-    lost_answers: u32,
-    late_writes: u32,
-    goes_back_every_ms: Option<u64>,
+struct Faults {
+    pause_percent: u32,
+    lost_response_percent: u32,
+    late_call_percent: u32,
+    restore_interval_ms: Option<u64>,
 }
 
-struct World {
+struct Simulation {
     random: StdRng,
-    troubles: Troubles,
+    faults: Faults,
     now_ms: u64,
     store: Store,
-    copies: Vec<(u64, Store)>,
+    snapshots: Vec<(u64, Store)>,
     processes: Vec<Process>,
     orders: Vec<Order>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
@@ -124,44 +129,44 @@
     next_event: u64,
 }
 
-impl World {
-    fn new(seed: u64, processes: usize, troubles: Troubles) -> Self {
+impl Simulation {
+    fn new(seed: u64, processes: usize, faults: Faults) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let process = |number: usize| {
-            let ahead_ms = random.random_range(0..10_000_000);
+            let clock_offset_ms = random.random_range(0..10_000_000);
             let own = format!("entry-{number}").into();
-            let look_at = UnixMs(ahead_ms + random.random_range(0..1_000));
+            let check_at = UnixMs(clock_offset_ms + random.random_range(0..1_000));
             Process {
-                lease: OrderLease::new(own, TERMS, look_at),
-                ahead_ms,
-                stands_still_until: 0,
+                lease: OrderLease::new(own, TERMS, check_at),
+                clock_offset_ms,
+                paused_until_ms: 0,
                 call_number: 0,
                 asked_at: UnixMs(0),
-                is_asking: false,
+                has_pending_call: false,
             }
         };
         let processes: Vec<Process> = (0..processes).map(process).collect();
-        let mut world = Self {
+        let mut simulation = Self {
             random,
-            troubles,
+            faults,
             now_ms: 0,
             store: Store { revision: 7, ..Store::default() },
-            copies: Vec::new(),
+            snapshots: Vec::new(),
             processes,
             orders: Vec::new(),
             queue: BinaryHeap::new(),
             events: HashMap::new(),
             next_event: 0,
         };
-        (0..world.processes.len())
-            .for_each(|process| world.push(0, Event::Wakes { process }));
-        if let Some(every_ms) = troubles.goes_back_every_ms {
-            for number in 1..=RUN_MS / every_ms {
-                let age_ms = world.random.random_range(0..8_000);
-                world.push(number * every_ms, Event::GoesBack { age_ms });
+        (0..simulation.processes.len())
+            .for_each(|process| simulation.push(0, Event::Wake { process }));
+        if let Some(every_ms) = faults.restore_interval_ms {
+            for number in 1..=SIMULATION_MS / every_ms {
+                let age_ms = simulation.random.random_range(0..8_000);
+                simulation.push(number * every_ms, Event::Restore { age_ms });
             }
         }
-        world
+        simulation
     }
 
     fn push(&mut self, at_ms: u64, event: Event) {
@@ -170,177 +175,180 @@
         self.next_event += 1;
     }
 
-    fn chance(&mut self, in_a_hundred: u32) -> bool {
-        self.random.random_range(0..100) < in_a_hundred
+    fn chance(&mut self, percent: u32) -> bool {
+        self.random.random_range(0..100) < percent
     }
 
     fn run(&mut self) {
         while let Some(Reverse((at_ms, number))) = self.queue.pop() {
-            if at_ms > RUN_MS {
+            if at_ms > SIMULATION_MS {
                 return;
             }
             self.now_ms = at_ms;
-            let event = self.events.remove(&number).expect("each comes once");
-            self.copies.push((at_ms, self.store.clone()));
-            self.happen(event);
+            let event = self.events.remove(&number).expect("each event is queued once");
+            self.snapshots.push((at_ms, self.store.clone()));
+            self.handle(event);
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let acting = match &event {
-            Event::Wakes { process }
-            | Event::Answered { process, .. }
-            | Event::GivenUp { process, .. } => Some(*process),
-            Event::Runs { .. } | Event::GoesBack { .. } => None,
+            Event::Wake { process }
+            | Event::Response { process, .. }
+            | Event::Timeout { process, .. } => Some(*process),
+            Event::Execute { .. } | Event::Restore { .. } => None,
         };
         if let Some(process) = acting {
-            if self.chance(self.troubles.stand_still) {
-                let still_ms = self.random.random_range(0..12_000);
-                self.processes[process].stands_still_until = self.now_ms + still_ms;
+            if self.chance(self.faults.pause_percent) {
+                let pause_ms = self.random.random_range(0..12_000);
+                self.processes[process].paused_until_ms = self.now_ms + pause_ms;
             }
-            let until = self.processes[process].stands_still_until;
+            let until = self.processes[process].paused_until_ms;
             if until > self.now_ms {
                 return self.push(until, event);
             }
         }
         match event {
-            Event::Wakes { process } => self.wake(process),
-            Event::Runs { process, call_number, call, answer_in_ms } => {
-                self.carry_out(process, call_number, call, answer_in_ms);
+            Event::Wake { process } => self.wake(process),
+            Event::Execute { process, call_number, call, response_delay_ms } => {
+                self.execute(process, call_number, call, response_delay_ms);
             }
-            Event::Answered { process, call_number, reply } => {
-                if self.is_awaited(process, call_number) {
-                    self.take_reply(process, reply);
+            Event::Response { process, call_number, reply } => {
+                if self.is_pending(process, call_number) {
+                    self.handle_reply(process, reply);
                 }
             }
-            Event::GivenUp { process, call_number, call } => {
-                if self.is_awaited(process, call_number) {
-                    self.give_up(process, call);
+            Event::Timeout { process, call_number, call } => {
+                if self.is_pending(process, call_number) {
+                    self.handle_timeout(process, call);
                 }
             }
-            Event::GoesBack { age_ms } => self.go_back(age_ms),
+            Event::Restore { age_ms } => self.restore(age_ms),
         }
         if let Some(process) = acting {
-            self.order(process);
+            self.give_order(process);
         }
     }
 
     fn clock(&self, process: usize) -> UnixMs {
-        UnixMs(self.now_ms + self.processes[process].ahead_ms)
+        UnixMs(self.now_ms + self.processes[process].clock_offset_ms)
     }
 
-    fn is_awaited(&self, process: usize, call_number: u64) -> bool {
+    fn is_pending(&self, process: usize, call_number: u64) -> bool {
         let process = &self.processes[process];
-        process.is_asking && process.call_number == call_number
+        process.has_pending_call && process.call_number == call_number
     }
 
     fn wake(&mut self, process: usize) {
         let now = self.clock(process);
-        let soon_ms = self.now_ms + self.random.random_range(1..200);
+        let next_wake_ms = self.now_ms + self.random.random_range(1..200);
         let call = match self.processes[process].lease.task(now) {
-            _ if self.processes[process].is_asking => return,
-            LeaseTask::Wait(_) => return self.push(soon_ms, Event::Wakes { process }),
+            _ if self.processes[process].has_pending_call => return,
+            LeaseTask::Wait(_) => {
+                return self.push(next_wake_ms, Event::Wake { process });
+            }
             LeaseTask::Glance => Call::Glance,
             LeaseTask::Read => Call::Read,
             LeaseTask::Write(write) => Call::Write(write),
         };
-        self.ask(process, call, now);
+        self.call_store(process, call, now);
     }
 
-    fn ask(&mut self, process: usize, call: Call, now: UnixMs) {
-        let asking = &mut self.processes[process];
-        asking.call_number += 1;
-        asking.asked_at = now;
-        asking.is_asking = true;
-        let call_number = asking.call_number;
-        let is_late = self.chance(self.troubles.late_writes);
-        let way_ms = match is_late {
+    fn call_store(&mut self, process: usize, call: Call, now: UnixMs) {
+        let client = &mut self.processes[process];
+        client.call_number += 1;
+        client.asked_at = now;
+        client.has_pending_call = true;
+        let call_number = client.call_number;
+        let is_late = self.chance(self.faults.late_call_percent);
+        let request_delay_ms = match is_late {
             true => self.random.random_range(0..9_000),
             false => self.random.random_range(0..30),
         };
-        let is_lost = self.chance(self.troubles.lost_answers);
-        let answer_in_ms = (!is_lost).then(|| self.random.random_range(0..300));
-        let given_up = Event::GivenUp { process, call_number, call: call.clone() };
-        let runs = Event::Runs { process, call_number, call, answer_in_ms };
-        self.push(self.now_ms + way_ms, runs);
-        self.push(self.now_ms + CALL_MS, given_up);
+        let is_response_lost = self.chance(self.faults.lost_response_percent);
+        let response_delay_ms =
+            (!is_response_lost).then(|| self.random.random_range(0..300));
+        let timeout = Event::Timeout { process, call_number, call: call.clone() };
+        let execution = Event::Execute { process, call_number, call, response_delay_ms };
+        self.push(self.now_ms + request_delay_ms, execution);
+        self.push(self.now_ms + CALL_TIMEOUT_MS, timeout);
     }
 
-    fn carry_out(
+    fn execute(
         &mut self,
         process: usize,
         call_number: u64,
         call: Call,
-        answer_in_ms: Option<u64>,
+        response_delay_ms: Option<u64>,
     ) {
         let reply = match call {
-            Call::Glance => Reply::Seen(self.older_sight()),
+            Call::Glance => Reply::Seen(self.stale_read()),
             Call::Read => Reply::Seen(self.store.seen()),
             Call::Write(write) => {
                 let outcome = self.store.write(&write);
                 Reply::Wrote(write, outcome)
             }
         };
-        if let Some(in_ms) = answer_in_ms {
-            let answered = Event::Answered { process, call_number, reply };
-            self.push(self.now_ms + in_ms, answered);
+        if let Some(delay_ms) = response_delay_ms {
+            let response = Event::Response { process, call_number, reply };
+            self.push(self.now_ms + delay_ms, response);
         }
     }
 
-    /// What a glance shows may be seconds old.
-    fn older_sight(&mut self) -> SeenClaim {
+    /// Returns the claim as of some seconds ago, as a glance may show it.
+    fn stale_read(&mut self) -> SeenClaim {
         let age_ms = self.random.random_range(0..4_000);
         let until = self.now_ms.saturating_sub(age_ms);
-        let copy = self.copies.iter().rev().find(|(at_ms, _)| *at_ms <= until);
+        let copy = self.snapshots.iter().rev().find(|(at_ms, _)| *at_ms <= until);
         copy.map_or(self.store.seen(), |(_, store)| store.seen())
     }
 
-    fn take_reply(&mut self, process: usize, reply: Reply) {
+    fn handle_reply(&mut self, process: usize, reply: Reply) {
         let now = self.clock(process);
-        let asking = &mut self.processes[process];
-        asking.is_asking = false;
-        match (asking.lease.task(now), reply) {
+        let client = &mut self.processes[process];
+        client.has_pending_call = false;
+        match (client.lease.task(now), reply) {
             (_, Reply::Wrote(write, outcome)) => {
-                asking.lease.wrote(write, asking.asked_at, outcome, now);
+                client.lease.wrote(write, client.asked_at, outcome, now);
             }
-            (LeaseTask::Read, Reply::Seen(seen)) => asking.lease.read(seen, now),
-            (_, Reply::Seen(seen)) => asking.lease.glanced(&seen, now),
+            (LeaseTask::Read, Reply::Seen(seen)) => client.lease.read(seen, now),
+            (_, Reply::Seen(seen)) => client.lease.glanced(&seen, now),
         }
-        self.push(self.now_ms, Event::Wakes { process });
+        self.push(self.now_ms, Event::Wake { process });
     }
 
-    fn give_up(&mut self, process: usize, call: Call) {
+    fn handle_timeout(&mut self, process: usize, call: Call) {
         let now = self.clock(process);
-        let asking = &mut self.processes[process];
-        asking.is_asking = false;
+        let client = &mut self.processes[process];
+        client.has_pending_call = false;
         match call {
             Call::Write(write) => {
                 let outcome = WriteOutcome::Unclear;
-                asking.lease.wrote(write, asking.asked_at, outcome, now);
+                client.lease.wrote(write, client.asked_at, outcome, now);
             }
-            _ => asking.lease.unanswered(now),
+            _ => client.lease.unanswered(now),
         }
-        self.push(self.now_ms, Event::Wakes { process });
+        self.push(self.now_ms, Event::Wake { process });
     }
 
-    fn go_back(&mut self, age_ms: u64) {
+    fn restore(&mut self, age_ms: u64) {
         let until = self.now_ms.saturating_sub(age_ms);
-        let copy = self.copies.iter().rev().find(|(at_ms, _)| *at_ms <= until);
+        let copy = self.snapshots.iter().rev().find(|(at_ms, _)| *at_ms <= until);
         let Some((_, copy)) = copy else { return };
         let era = self.store.era + 1;
         self.store = Store { era, ..copy.clone() };
-        self.copies.push((self.now_ms, self.store.clone()));
+        self.snapshots.push((self.now_ms, self.store.clone()));
     }
 
-    fn order(&mut self, process: usize) {
+    fn give_order(&mut self, process: usize) {
         let now = self.clock(process);
         let Some(tenure) = self.processes[process].lease.tenure(now) else { return };
-        let way_ms = self.random.random_range(0..=TERMS.order_ms);
-        let arrives_ms = self.now_ms + way_ms;
+        let delay_ms = self.random.random_range(0..=TERMS.order_ms);
+        let arrives_ms = self.now_ms + delay_ms;
         self.orders.push(Order { arrives_ms, process, fence: tenure.fence(1) });
     }
 
-    /// Checks the orders of each two processes against each other.
+    /// Checks the intervals and the fencing tokens of orders from different processes.
     fn check(&mut self) -> Result<(), TestCaseError> {
         self.orders.sort_by_key(|order| order.arrives_ms);
         for (at, order) in self.orders.iter().enumerate() {
@@ -357,15 +365,20 @@
     }
 }
 
-fn troubles() -> impl Strategy<Value = Troubles> {
-    let often = || prop_oneof![Just(0_u32), 1_u32..10, 10_u32..40];
-    let goes_back_every_ms = prop::option::of(2_000_u64..40_000);
-    (often(), often(), often(), goes_back_every_ms).prop_map(
-        |(stand_still, lost_answers, late_writes, goes_back_every_ms)| Troubles {
-            stand_still,
-            lost_answers,
-            late_writes,
-            goes_back_every_ms,
+fn faults() -> impl Strategy<Value = Faults> {
+    let percent = || prop_oneof![Just(0_u32), 1_u32..10, 10_u32..40];
+    let restore_interval_ms = prop::option::of(2_000_u64..40_000);
+    (percent(), percent(), percent(), restore_interval_ms).prop_map(
+        |(
+            pause_percent,
+            lost_response_percent,
+            late_call_percent,
+            restore_interval_ms,
+        )| Faults {
+            pause_percent,
+            lost_response_percent,
+            late_call_percent,
+            restore_interval_ms,
         },
     )
 }
@@ -374,69 +387,72 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn no_two_holders_order_within_a_lease_time(
+    fn no_two_holders_give_orders_within_a_lease_time(
         seed in any::<u64>(),
         processes in 2_usize..5,
-        troubles in troubles(),
+        faults in faults(),
     ) {
-        let mut world = World::new(seed, processes, troubles);
-        world.run();
-        world.check()?;
+        let mut simulation = Simulation::new(seed, processes, faults);
+        simulation.run();
+        simulation.check()?;
     }
 }
 
-const CALM: Troubles = Troubles {
-    stand_still: 0,
-    lost_answers: 0,
-    late_writes: 0,
-    goes_back_every_ms: None,
+const NO_FAULTS: Faults = Faults {
+    pause_percent: 0,
+    lost_response_percent: 0,
+    late_call_percent: 0,
+    restore_interval_ms: None,
 };
 
 #[test]
-fn where_nothing_is_amiss_one_process_orders_from_the_wait_on() {
-    let mut world = World::new(1, 4, CALM);
-    world.run();
-    world.check().expect("one holder orders");
-    let first = world.orders.first().expect("somebody orders");
-    // The first look, the read, the wait, and some calls.
+fn without_faults_one_process_gives_orders_after_the_takeover_wait() {
+    let mut simulation = Simulation::new(1, 4, NO_FAULTS);
+    simulation.run();
+    simulation.check().expect("one holder gives orders");
+    let first = simulation.orders.first().expect("a process gives orders");
+    // The bound covers the first glance, the read, the takeover wait, and some calls.
     assert!(first.arrives_ms < 1_000 + TERMS.takeover_ms() + 1_000, "{first:?}");
-    assert!(world.orders.iter().all(|order| order.process == first.process));
-    let gaps = world.orders.windows(2).map(|two| two[1].arrives_ms - two[0].arrives_ms);
-    assert!(gaps.max().expect("several orders") < 1_000, "the right never lapses");
+    assert!(simulation.orders.iter().all(|order| order.process == first.process));
+    let gaps =
+        simulation.orders.windows(2).map(|two| two[1].arrives_ms - two[0].arrives_ms);
+    assert!(gaps.max().expect("several orders") < 1_000, "the lease never expires");
 }
 
 #[test]
-fn a_holder_that_is_gone_for_good_is_replaced() {
-    // Engines without a sidecar would keep their weights for ever: the holder's host is
-    // taken away. The others see at their next two looks that nobody renews the claim.
-    let mut world = World::new(2, 3, CALM);
-    let mut gone_at = None;
-    while let Some(Reverse((at_ms, number))) = world.queue.pop() {
-        world.now_ms = at_ms;
-        let event = world.events.remove(&number).expect("each comes once");
+fn a_holder_that_fails_permanently_is_replaced() {
+    // The host of the holder fails permanently. Without a takeover, engines without a
+    // sidecar would never change their weights again. The other processes detect at their
+    // next two checks that the claim is not renewed.
+    let mut simulation = Simulation::new(2, 3, NO_FAULTS);
+    let mut failed_at = None;
+    while let Some(Reverse((at_ms, number))) = simulation.queue.pop() {
+        simulation.now_ms = at_ms;
+        let event = simulation.events.remove(&number).expect("each event is queued once");
         if let (None, Some(order), true) =
-            (gone_at, world.orders.last().copied(), at_ms > 20_000)
+            (failed_at, simulation.orders.last().copied(), at_ms > 20_000)
         {
-            world.processes[order.process].stands_still_until = u64::MAX;
-            gone_at = Some((order.process, at_ms));
+            simulation.processes[order.process].paused_until_ms = u64::MAX;
+            failed_at = Some((order.process, at_ms));
         }
         if at_ms > 40_000 {
             break;
         }
-        world.copies.push((at_ms, world.store.clone()));
-        world.happen(event);
+        simulation.snapshots.push((at_ms, simulation.store.clone()));
+        simulation.handle(event);
     }
-    let (gone, gone_at) = gone_at.expect("somebody held");
-    let next = world.orders.iter().find(|order| order.process != gone);
-    let next = next.expect("another one orders");
-    assert!(next.arrives_ms - gone_at < 17_000, "{next:?} after {gone_at}");
+    let (failed, failed_at) = failed_at.expect("a process held the claim");
+    let next = simulation.orders.iter().find(|order| order.process != failed);
+    let next = next.expect("another process gives orders");
+    assert!(next.arrives_ms - failed_at < 17_000, "{next:?} after {failed_at}");
 }
 
 #[test]
-fn a_write_that_meets_a_revision_given_out_twice_gives_no_right() {
-    // Two holders would order within a lease time. An entry reads the claim at revision
-    // 8; the store comes back from an older copy, and the entry's conditional write is
-    // carried out there. What it wrote is the claim of the era that is over.
+fn a_write_that_matches_a_reused_revision_grants_no_lease() {
+    // An entry reads the claim at revision 8. The store is restored from an older backup
+    // and then executes the entry's conditional write, which writes the claim of the
+    // previous era. If this granted the lease, two holders could give orders within a
+    // lease time.
     let now = UnixMs(50_000);
     let mut lease = OrderLease::new("entry-a".into(), TERMS, now);
     let none = SeenClaim { era: 3, revision: 0, claim: None };
@@ -445,23 +461,25 @@
         |holder: &str, term| OrderClaim { holder: holder.into(), term, renewal: 0 };
     let theirs = SeenClaim { era: 3, revision: 8, claim: Some(claim("entry-b", 4)) };
     lease.read(theirs, now);
-    let take_at = now.plus_ms(TERMS.takeover_ms());
-    let LeaseTask::Write(write) = lease.task(take_at) else { panic!("it takes over") };
+    let takeover_at = now.plus_ms(TERMS.takeover_ms());
+    let LeaseTask::Write(write) = lease.task(takeover_at) else {
+        panic!("expected a takeover")
+    };
     let expected =
         ClaimWrite { era: 3, claim: claim("entry-a", 5), expected_revision: 8 };
     assert_eq!(write, expected);
     let ours = SeenClaim { era: 4, revision: 9, claim: Some(write.claim.clone()) };
-    lease.wrote(write, take_at, WriteOutcome::Written(ours), take_at);
-    assert_eq!(lease.tenure(take_at), None);
-    // It reads the claim of the new era, and waits as anybody does.
-    assert_eq!(lease.task(take_at), LeaseTask::Read);
-    lease.read(SeenClaim { era: 4, revision: 0, claim: None }, take_at);
-    let wait = LeaseTask::Wait(take_at.plus_ms(TERMS.takeover_ms()));
-    assert_eq!(lease.task(take_at), wait);
+    lease.wrote(write, takeover_at, WriteOutcome::Written(ours), takeover_at);
+    assert_eq!(lease.tenure(takeover_at), None);
+    // The entry reads the claim of the new era and waits like any other process.
+    assert_eq!(lease.task(takeover_at), LeaseTask::Read);
+    lease.read(SeenClaim { era: 4, revision: 0, claim: None }, takeover_at);
+    let wait = LeaseTask::Wait(takeover_at.plus_ms(TERMS.takeover_ms()));
+    assert_eq!(lease.task(takeover_at), wait);
 }
 
 #[test]
-fn tokens_rise_with_versions_then_eras_then_terms_then_to_the_sidecar() {
+fn tokens_are_ordered_by_version_era_and_term_with_the_sidecar_last() {
     let tokens = [
         sidecar_fence(6),
         Tenure { era: 0, term: 1 }.fence(7),
@@ -472,6 +490,6 @@
         Tenure { era: 0, term: 1 }.fence(8),
     ];
     assert!(tokens.is_sorted_by(|a, b| a < b), "{tokens:?}");
-    // Exact in every writer's JSON for any version below a hundred million.
+    // Tokens are exact in any JSON implementation for versions below a hundred million.
     assert!(sidecar_fence(100_000_000) < 1 << 53);
 }
--- a/crates/bilberry-core/tests/shared_watch.rs
+++ b/crates/bilberry-core/tests/shared_watch.rs
@@ -1,4 +1,4 @@
-//! What is told by one watch that many share.
+//! Replies of a watch that is shared by many processes.
 
 use bilberry_core::Brought;
 use bilberry_core::HubCandidate;
@@ -11,7 +11,7 @@
 use bilberry_core::known_at;
 use proptest::prelude::*;
 
-/// A position in a store that tells no era.
+/// Returns a position in a store that reports no era.
 fn at(revision: u64) -> StorePosition {
     StorePosition { era: None, revision }
 }
@@ -32,10 +32,11 @@
 }
 
 #[test]
-fn an_asker_inside_a_batch_is_sent_to_the_store() {
-    // The caller would see a route that was removed come back. The entry has listed at
-    // revision 12; the hub's call from 10 brings the changes 11 to 13, of which the
-    // entry has two: told all, it goes back to 11 for a moment.
+fn a_requester_within_a_batch_must_call_the_store() {
+    // The entry has listed at revision 12, and the hub's call from revision 10 returns
+    // the changes 11 to 13, of which the entry already has two. Applying all of them
+    // would take the entry back to revision 11, so that callers see a removed route
+    // again.
     let batch = news(10, &[11, 12, 13], 0);
     assert_eq!(question(12, 0).hear(&batch), Some(WatchReply::OutOfStep));
     let all = WatchReply::News { position: at(13), news: vec![11, 12, 13], known_ms: 0 };
@@ -45,9 +46,10 @@
 }
 
 #[test]
-fn a_quiet_moment_before_the_question_confirms_nothing() {
-    // A key could count too long: the hub's call ended with nothing new, was read late,
-    // and the question arrived in between. The next call answers it.
+fn a_quiet_result_from_before_the_request_confirms_nothing() {
+    // The hub's call ended without changes, but its response was processed late and the
+    // request arrived in between. A reply from it would extend the validity of a key. The
+    // request is answered from the next call.
     assert_eq!(question(10, 500).hear(&quiet(10, 10, 499)), None);
     let later = WatchReply::Quiet { position: at(11), known_ms: 100 };
     assert_eq!(question(10, 500).hear(&quiet(10, 11, 600)), Some(later));
@@ -55,9 +57,10 @@
 }
 
 #[test]
-fn clocks_that_differ_change_nothing_about_when_a_reply_counts() {
-    // The hub's clock is years ahead; only what passed between arrival and proof is
-    // told. A reply that says more than has passed at the asker counts as of now.
+fn clock_offsets_do_not_change_the_time_for_which_a_reply_is_valid() {
+    // The reply carries only the time relative to the request's arrival, so the offset of
+    // the hub's clock does not matter. A reply for a later time than the requester's own
+    // clock shows is valid for the current time.
     assert_eq!(known_at(UnixMs(1_000), 400, UnixMs(2_000)), UnixMs(1_400));
     assert_eq!(known_at(UnixMs(1_000), -300, UnixMs(2_000)), UnixMs(700));
     assert_eq!(known_at(UnixMs(1_000), 9_000, UnixMs(2_000)), UnixMs(2_000));
@@ -73,84 +76,86 @@
     let seed = candidates[chosen].seed;
     assert_eq!(candidates[chosen].place, a);
     candidates.reverse();
-    let again = choose_hub(&a, &candidates, 8).expect("the order changes nothing");
+    let again =
+        choose_hub(&a, &candidates, 8).expect("eight entries share a watch in any order");
     assert_eq!(candidates[again].seed, seed);
-    // Without it another takes its place; with none in the data centre, or too few
-    // entries for it to be worth while, each watches for itself.
+    // If the hub fails, another candidate is chosen. Without a candidate in the data
+    // centre, or with too few entries to save calls, each entry watches the store itself.
     candidates.retain(|candidate| candidate.seed != seed);
-    let next = choose_hub(&a, &candidates, 8).expect("seven are left");
+    let next = choose_hub(&a, &candidates, 8).expect("seven candidates are left");
     assert_eq!(candidates[next].place, a);
     assert_eq!(choose_hub(&a, &candidates, 7), None);
     assert_eq!(choose_hub(&"hall-c".into(), &candidates, 80), None);
     assert_eq!(choose_hub(&a, &[], 80), None);
 }
 
-/// One step of a store, a hub and an entry that lives by the hub's word.
+/// One step of a simulation with a store, a hub, and an entry that follows the hub.
 #[derive(Debug, Clone)]
 enum Step {
-    /// The store's revision grows; the kind changes or another one does.
-    Write { ours: bool },
-    /// The hub's call ends; its answer takes a while, and the hub may stand still.
-    HubCalls { travel_ms: u64, frozen_ms: u64 },
-    /// The entry's question travels to the hub, and the hub may stand still.
-    EntryAsks { travel_ms: u64, frozen_ms: u64 },
-    /// The entry asks the store itself.
-    EntryCalls,
+    /// The store's revision increases; an object of the watched kind or of another one
+    /// changes.
+    Write { is_watched_kind: bool },
+    /// The hub's call ends; the response is in transit and the hub may pause.
+    HubCalls { travel_ms: u64, pause_ms: u64 },
+    /// The entry sends a request to the hub, and the hub may pause.
+    EntryAsksHub { travel_ms: u64, pause_ms: u64 },
+    /// The entry calls the store itself.
+    EntryCallsStore,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let ms = || prop_oneof![Just(0), 1_u64..50, 500_u64..9_000];
     prop_oneof![
-        any::<bool>().prop_map(|ours| Step::Write { ours }),
+        any::<bool>().prop_map(|is_watched_kind| Step::Write { is_watched_kind }),
         (ms(), ms())
-            .prop_map(|(travel_ms, frozen_ms)| Step::HubCalls { travel_ms, frozen_ms }),
+            .prop_map(|(travel_ms, pause_ms)| Step::HubCalls { travel_ms, pause_ms }),
         (ms(), ms())
-            .prop_map(|(travel_ms, frozen_ms)| Step::EntryAsks { travel_ms, frozen_ms }),
-        Just(Step::EntryCalls),
+            .prop_map(|(travel_ms, pause_ms)| Step::EntryAsksHub { travel_ms, pause_ms }),
+        Just(Step::EntryCallsStore),
     ]
 }
 
-/// How far the hub's clock is from the entry's.
-const HUB_AHEAD_MS: u64 = 777_000;
+/// The offset of the hub's clock from the entry's clock.
+const HUB_CLOCK_OFFSET_MS: u64 = 777_000;
 
-/// The store, with each change and when it was written by the entry's clock.
+/// The store, with each change of the watched kind and its time by the entry's clock.
 #[derive(Default)]
 struct Store {
     revision: u64,
-    ours: Vec<(u64, u64)>,
+    changes: Vec<(u64, u64)>,
 }
 
 impl Store {
     fn since(&self, revision: u64) -> Vec<u64> {
-        let ours = self.ours.iter().map(|(revision, _)| *revision);
-        ours.filter(|found| *found > revision).collect()
+        let revisions = self.changes.iter().map(|(revision, _)| *revision);
+        revisions.filter(|found| *found > revision).collect()
     }
 }
 
 proptest! {
     #[test]
-    fn nothing_is_missed_or_repeated_and_no_reply_counts_longer_than_it_is_true(
+    fn no_change_is_missed_or_repeated_and_no_reply_confirms_too_late_a_time(
         steps in prop::collection::vec(step(), 1..200),
         hub_from in 0_u64..3,
     ) {
-        let (mut now, mut store) = (1_000_000_u64, Store { revision: 3, ours: vec![] });
+        let (mut now, mut store) = (1_000_000_u64, Store { revision: 3, changes: vec![] });
         let (mut hub_at, mut hub_called_at, mut quiet_from) = (hub_from, now, hub_from);
         let (mut entry_at, mut seen) = (3, Vec::new());
         let mut asked: Option<(u64, WatchQuestion)> = None;
         let mut confirmed = 0;
         for step in steps {
             match step {
-                Step::Write { ours } => {
+                Step::Write { is_watched_kind } => {
                     now += 7;
                     store.revision += 1;
-                    if ours {
-                        store.ours.push((store.revision, now));
+                    if is_watched_kind {
+                        store.changes.push((store.revision, now));
                     }
                 }
-                Step::EntryAsks { travel_ms, frozen_ms } if asked.is_none() => {
+                Step::EntryAsksHub { travel_ms, pause_ms } if asked.is_none() => {
                     let asked_ms = now;
-                    now += travel_ms + frozen_ms;
-                    let question = question(entry_at, now + HUB_AHEAD_MS);
+                    now += travel_ms + pause_ms;
+                    let question = question(entry_at, now + HUB_CLOCK_OFFSET_MS);
                     asked = Some((asked_ms, question));
                     if question.is_behind(at(quiet_from)) {
                         asked = None;
@@ -158,13 +163,14 @@
                         entry_at = store.revision;
                     }
                 }
-                Step::HubCalls { travel_ms, frozen_ms } => {
-                    // The call was made when the one before was read; the store answers
-                    // now, at the end of the wait or with the first news.
+                Step::HubCalls { travel_ms, pause_ms } => {
+                    // The call was made when the previous response was processed; the
+                    // store responds now, at the end of the wait or with the first
+                    // change.
                     let changes = store.since(hub_at);
                     let to = store.revision;
                     let answered_ms = now;
-                    now += travel_ms + frozen_ms;
+                    now += travel_ms + pause_ms;
                     let known_ms = match changes.is_empty() {
                         true => answered_ms.min(now),
                         false => hub_called_at,
@@ -173,14 +179,15 @@
                         from: at(hub_at),
                         to: at(to),
                         news: (!changes.is_empty()).then_some(changes),
-                        known_at: UnixMs(known_ms + HUB_AHEAD_MS),
+                        known_at: UnixMs(known_ms + HUB_CLOCK_OFFSET_MS),
                     };
                     (hub_at, hub_called_at) = (to, now);
                     if brought.news.is_some() {
                         quiet_from = to;
                     }
                     let Some((asked_ms, question)) = asked else { continue };
-                    // Only what was not yet told when the question arrived is heard.
+                    // Only changes not yet reported when the request arrived are
+                    // considered.
                     let Some(reply) = question.hear(&brought) else { continue };
                     asked = None;
                     now += travel_ms;
@@ -201,18 +208,20 @@
                         }
                     }
                 }
-                Step::EntryCalls if asked.is_none() => {
+                Step::EntryCallsStore if asked.is_none() => {
                     seen.extend(store.since(entry_at));
                     entry_at = store.revision;
                 }
-                Step::EntryAsks { .. } | Step::EntryCalls => {}
+                Step::EntryAsksHub { .. } | Step::EntryCallsStore => {}
             }
-            let told: Vec<u64> = store.ours.iter().map(|(revision, _)| *revision).collect();
-            // In order, each once, none left out.
-            prop_assert_eq!(&told[..seen.len()], &seen[..]);
-            // Whatever was written by the moment that the entry counts as confirmed, it
-            // has: no revoked key counts for longer than after an answer of the store's.
-            let unseen = store.ours.iter().filter(|(revision, _)| !seen.contains(revision));
+            let written = store.changes.iter().map(|(revision, _)| *revision);
+            let written: Vec<u64> = written.collect();
+            // Changes arrive in order, exactly once, and without gaps.
+            prop_assert_eq!(&written[..seen.len()], &seen[..]);
+            // The entry has every change written by its confirmed time, so a revoked key
+            // is accepted no longer than after a response of the store itself.
+            let changes = store.changes.iter();
+            let unseen = changes.filter(|(revision, _)| !seen.contains(revision));
             for (_, written_ms) in unseen {
                 prop_assert!(*written_ms > confirmed);
             }
--- a/crates/bilberry-core/tests/store_eras.rs
+++ b/crates/bilberry-core/tests/store_eras.rs
@@ -1,4 +1,4 @@
-//! What is believed of a store that comes back from an older copy.
+//! Handling of a store that is restored from an older backup.
 
 use bilberry_core::Brought;
 use bilberry_core::Departures;
@@ -29,7 +29,7 @@
     Brought { from, to, news, known_at: UnixMs(100) }
 }
 
-/// A follower that has listed at a position.
+/// Returns the cursor of a follower that has listed at a position.
 fn cursor(era: u64, revision: u64) -> StoreCursor {
     let mut cursor = StoreCursor::default();
     cursor.hear(Some(era), UnixMs(0));
@@ -41,14 +41,15 @@
 fn a_later_era_is_later_whatever_its_revision() {
     assert!(at(2, 3) > at(1, 900));
     assert!(at(2, 3) < at(2, 4));
-    // A store that begins to tell its era may be at any of them.
+    // A store that starts to report eras may be in any era.
     assert!(at(0, 0) > StorePosition { era: None, revision: 900 });
 }
 
 #[test]
-fn a_change_of_era_forgets_the_position_below_equal_and_above() {
-    // Callers of a removed route would be served on. The number that the follower waits
-    // from stands for another change now, or for none yet: there is no 410 to tell it.
+fn a_change_of_era_discards_the_position_whatever_the_revision() {
+    // The revision from which the follower watches now denotes another change or none
+    // yet, and the store does not respond with 410. Without a new list, the follower
+    // would miss changes and callers of a removed route would still be served.
     for revision in [3, 10, 900] {
         let mut cursor = cursor(1, 10);
         let entered =
@@ -61,11 +62,11 @@
 }
 
 #[test]
-fn an_answer_of_an_era_that_is_over_counts_for_nothing() {
+fn a_response_from_a_past_era_is_ignored() {
     let mut cursor = cursor(2, 10);
     assert_eq!(cursor.hear(Some(1), UnixMs(70)), EraTold::Over);
     assert_eq!(cursor.position(), Some(at(2, 10)));
-    // One that names no era can't be told apart, and one that is lost is listed anew.
+    // A response without an era is accepted. A cursor that was reset requires a new list.
     assert_eq!(cursor.hear(None, UnixMs(80)), EraTold::Present);
     cursor.lose();
     assert_eq!(
@@ -75,15 +76,15 @@
 }
 
 #[test]
-fn the_first_answer_of_all_gives_nothing_up() {
-    // A process that starts is not in doubt of what it reads: it would refuse callers
-    // for two seconds at each start.
+fn the_first_response_discards_no_position() {
+    // A starting process must not treat its first read as a restore. Otherwise it would
+    // reject callers for two seconds after each start.
     let mut cursor = StoreCursor::default();
     let EraTold::Entered(entered) = cursor.hear(Some(7), UnixMs(5)) else {
-        panic!("an era is entered");
+        panic!("expected a new era");
     };
     assert_eq!((entered.era, entered.left), (Some(7), None));
-    // A store that tells no era is followed by its revisions alone.
+    // A store that reports no era is followed by revision only.
     let mut cursor = StoreCursor::default();
     assert_eq!(cursor.hear(None, UnixMs(5)), EraTold::Present);
     cursor.advance(12);
@@ -91,36 +92,36 @@
 }
 
 #[test]
-fn a_hub_tells_nothing_across_eras() {
-    // A revoked key would open on: the hub says that nothing changed after revision 10,
-    // and means another history than the one that the entry has read.
+fn a_hub_reports_no_changes_across_eras() {
+    // The hub reports no changes after revision 10 of a different era than the one the
+    // entry has read. If the entry accepted this, a revoked key would remain valid.
     let quiet = brought(at(1, 10), at(1, 10), None);
     let news = brought(at(1, 10), at(1, 12), Some(1));
     let across = brought(at(1, 10), at(2, 12), Some(1));
-    // An asker of a later era waits for a call that is made in it.
+    // A requester in a later era waits for a call made in that era.
     for revision in [3, 10, 12, 900] {
         assert_eq!(question(2, revision).hear(&quiet), None);
         assert_eq!(question(2, revision).hear(&news), None);
     }
-    // One of an earlier era asks the store, which tells it.
+    // A requester in an earlier era learns of the new era from the store.
     let later = brought(at(2, 10), at(2, 10), None);
     for revision in [3, 10, 900] {
         assert_eq!(question(1, revision).hear(&later), Some(WatchReply::OutOfStep));
         assert!(question(1, revision).is_behind(at(2, 3)));
     }
-    // A call that began in one era and was answered in the next proves nothing.
-    for asker in [question(1, 10), question(2, 12), question(2, 10)] {
-        assert_eq!(asker.hear(&across), Some(WatchReply::OutOfStep));
+    // A call that began in one era and ended in the next confirms nothing.
+    for requester in [question(1, 10), question(2, 12), question(2, 10)] {
+        assert_eq!(requester.hear(&across), Some(WatchReply::OutOfStep));
     }
     let in_step = WatchReply::Quiet { position: at(2, 10), known_ms: 100 };
     assert_eq!(question(2, 10).hear(&later), Some(in_step));
 }
 
 #[test]
-fn a_copy_confirms_nothing_until_what_was_lost_is_written_again() {
-    // A key that was taken away in the seconds lost opens nothing after its bound. The
-    // entry had not heard of it, and the copy shows the version in force: it looks as if
-    // nothing were missing.
+fn a_restored_store_confirms_nothing_until_lost_writes_are_repeated() {
+    // A key revoked in the lost interval must not be accepted after its bound. The entry
+    // has not received the revocation, and the restored store has the version known to
+    // the entry, so nothing appears to be missing.
     let mut freshness = Freshness::default();
     freshness.confirm_read(UnixMs(10_000));
     freshness.doubt(UnixMs(11_000));
@@ -128,24 +129,24 @@
     freshness.confirm_read(UnixMs(11_000));
     freshness.confirm_quiet(UnixMs(11_000), 1_800, UnixMs(12_850));
     assert_eq!(freshness.confirmed_at(), UnixMs(10_000));
-    // Where nothing was lost nothing is written, and time ends the doubt.
+    // If nothing was lost, nothing is written again and the doubt ends by time.
     freshness.confirm_quiet(UnixMs(11_500), 1_500, UnixMs(13_010));
     assert_eq!(freshness.confirmed_at(), UnixMs(13_000));
 }
 
 #[test]
-fn a_copy_below_the_version_in_force_confirms_nothing_however_long() {
+fn a_store_restored_to_an_older_version_confirms_nothing_until_a_write() {
     let mut freshness = Freshness::default();
     freshness.confirm_read(UnixMs(10_000));
     freshness.doubt(UnixMs(11_000));
     freshness.note_copy(true);
     freshness.confirm_read(UnixMs(19_000));
     assert_eq!(freshness.confirmed_at(), UnixMs(10_000));
-    // The operators' writing is the proof, whenever it comes.
+    // A write by the operators ends the doubt, however late it comes.
     freshness.note_written_again();
     freshness.confirm_read(UnixMs(19_100));
     assert_eq!(freshness.confirmed_at(), UnixMs(19_100));
-    // A second return is a doubt of its own.
+    // A second restore starts a new doubt.
     freshness.doubt(UnixMs(19_500));
     freshness.note_copy(false);
     freshness.confirm_read(UnixMs(20_000));
@@ -153,9 +154,10 @@
 }
 
 #[test]
-fn an_outage_after_the_return_gives_the_doubt_its_time_anew() {
-    // The store is back for a moment and away again, so the operators could not write
-    // again what was lost. Its next answer shows the copy still.
+fn an_outage_after_a_restore_restarts_the_doubt_period() {
+    // The restored store is available only briefly before the next outage, so the
+    // operators could not repeat the lost writes. Its next response still shows the
+    // backup.
     let mut freshness = Freshness::default();
     freshness.confirm_read(UnixMs(10_000));
     freshness.doubt(UnixMs(11_000));
@@ -167,7 +169,7 @@
     assert_eq!(freshness.confirmed_at(), UnixMs(10_000));
     freshness.confirm_read(UnixMs(15_900));
     assert_eq!(freshness.confirmed_at(), UnixMs(15_900));
-    // One call that failed takes no time from callers.
+    // A single failed call does not extend the doubt period.
     freshness.doubt(UnixMs(20_000));
     freshness.note_copy(false);
     freshness.note_lost();
@@ -176,9 +178,10 @@
 }
 
 #[test]
-fn servers_that_the_copy_lacks_have_time_to_write_again() {
-    // Callers would be crowded onto the servers that the copy has. The store was away for
-    // less than any entry takes to lapse, so no outage was noticed.
+fn servers_missing_after_a_restore_have_a_grace_period() {
+    // The store was unavailable for less time than any entry takes to expire, so no
+    // outage was detected. Without a grace period, all load would move to the servers in
+    // the backup.
     let mut lapses = Lapses::new(HEARTBEAT_MS);
     lapses.note_answer(UnixMs(9_000));
     lapses.note_restored(UnixMs(10_000));
@@ -188,7 +191,7 @@
     assert!(lapses.list("a"));
     assert_eq!(lapses.take_overdue(UnixMs(11_900)), [("b".into(), until)]);
     assert_eq!(lapses.remove(&"c".into(), UnixMs(11_900)), Removal::Now);
-    // Twice in a row: those that still miss have their time from the second return on.
+    // A second restore restarts the grace period of the servers that are still missing.
     lapses.note_restored(UnixMs(20_000));
     lapses.remove(&"d".into(), UnixMs(20_000));
     lapses.note_restored(UnixMs(21_500));
@@ -196,20 +199,20 @@
 }
 
 #[test]
-fn a_server_that_left_is_not_brought_back_by_an_older_copy() {
-    // Requests would use up their few repeats on a server that is gone, for as long as
-    // the store takes to drop what nobody renews.
+fn a_deregistered_server_is_not_used_again_after_a_restore() {
+    // Otherwise requests would use up their limited retries on a server that is not
+    // running, until the store expires its entry.
     let born = |born_ms| Some(Incarnation { born_at: UnixMs(born_ms) });
     let mut departures = Departures::new(HEARTBEAT_MS);
     departures.note_left(&"left".into(), born(500), UnixMs(9_000));
-    // Without a return, what the list names is there.
+    // Without a restore, a listed server is running.
     assert!(!departures.is_doubtful("left", born(500), UnixMs(9_500)));
     departures.note_restored(UnixMs(10_000));
     assert!(departures.is_doubtful("left", born(500), UnixMs(10_000)));
     assert!(departures.is_doubtful("left", born(400), UnixMs(10_000)));
     assert!(departures.is_doubtful("left", None, UnixMs(14_799)));
     assert!(!departures.is_doubtful("other", born(500), UnixMs(10_000)));
-    // It has started again, or its entry is renewed by somebody.
+    // The server has restarted, or its entry is being renewed.
     assert!(!departures.is_doubtful("left", born(501), UnixMs(10_000)));
     assert!(!departures.is_doubtful("left", born(500), UnixMs(14_800)));
     departures.note_written("left");
@@ -217,13 +220,13 @@
 }
 
 #[test]
-fn weights_that_are_named_again_keep_their_age() {
-    // An engine that lacks them would be used past the bound, if the writing again after
-    // a return counted as the naming.
+fn weights_that_are_written_again_keep_their_age() {
+    // If the repeated write after a restore counted as a new version, an engine without
+    // these weights would be used past the bound.
     let mut named = NamedWeights::default();
     named.note(4, UnixMs(8_000));
     named.note(5, UnixMs(9_000));
-    // The copy has the older version; then the newer one is written again.
+    // The backup has the older version; then the newer one is written again.
     assert!(!named.note(4, UnixMs(12_000)));
     assert!(!named.note(5, UnixMs(13_000)));
     assert_eq!(named.newest(), Some((5, UnixMs(9_000))));
