--- a/crates/bilberry-core/src/cursor.rs
+++ b/crates/bilberry-core/src/cursor.rs
@@ -1,6 +1,6 @@
 //! Ordering of a response stream across attempts, as the caller sees it.
 
-/// What to do with a frame that arrived.
+/// How a received frame is handled.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum Accept {
     /// The frame is the next in sequence and is delivered.
--- a/crates/bilberry-core/src/freshness.rs
+++ b/crates/bilberry-core/src/freshness.rs
@@ -12,12 +12,14 @@
 #[derive(Debug, Copy, Clone, Default, PartialEq, Eq)]
 pub struct Freshness {
     confirmed_at: UnixMs,
-    doubt: Option<Doubt>,
+    restore: Option<UnverifiedRestore>,
 }
 
-/// The uncertainty about a store that was restored from an older backup.
+/// A restore of the store from an older backup that may still lack earlier writes.
+///
+/// While the restore is unverified, responses of the store confirm nothing.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
-struct Doubt {
+struct UnverifiedRestore {
     /// When the lost writes have been repeated.
     until: UnixMs,
     /// Whether the restored state is older than the known one.
@@ -30,11 +32,11 @@
     /// Records the response to a plain read, or a response with changes, for a request
     /// made at `asked_at`.
     pub fn confirm_read(&mut self, asked_at: UnixMs) {
-        if let Some(doubt) = &mut self.doubt {
-            doubt.note_answer(asked_at);
+        if let Some(restore) = &mut self.restore {
+            restore.record_response(asked_at);
         }
         if !self.is_doubted(asked_at) {
-            self.doubt = None;
+            self.restore = None;
             self.confirmed_at = self.confirmed_at.max(asked_at);
         }
     }
@@ -56,23 +58,25 @@
     /// store were unreachable.
     pub fn doubt(&mut self, now: UnixMs) {
         let until = now.plus_ms(RECOVERY_GRACE_MS);
-        self.doubt = Some(Doubt { until, is_behind: true, failed_calls: 0 });
+        self.restore =
+            Some(UnverifiedRestore { until, is_behind: true, failed_calls: 0 });
     }
 
     /// Records that a call to the store got no response.
     ///
     /// Lost writes cannot be repeated while the store is unreachable, so an outage
-    /// restarts the doubt period. A single failed call does not count as an outage.
+    /// restarts the time until the restore counts as verified. A single failed call does
+    /// not count as an outage.
     pub fn note_lost(&mut self) {
-        if let Some(doubt) = &mut self.doubt {
-            doubt.failed_calls += 1;
+        if let Some(restore) = &mut self.restore {
+            restore.failed_calls += 1;
         }
     }
 
     /// Records whether the restored state is older than the known one.
     pub fn note_copy(&mut self, is_behind: bool) {
-        if let Some(doubt) = &mut self.doubt {
-            doubt.is_behind = is_behind;
+        if let Some(restore) = &mut self.restore {
+            restore.is_behind = is_behind;
         }
     }
 
@@ -80,24 +84,25 @@
     ///
     /// Repeated writes carry the newest state, so nothing is missing any more.
     pub fn note_written_again(&mut self) {
-        self.doubt = None;
+        self.restore = None;
     }
 
     /// Returns whether a response for the time `at` confirms nothing, because the store
     /// may lack earlier writes.
     pub fn is_doubted(&self, at: UnixMs) -> bool {
-        self.doubt.is_some_and(|doubt| doubt.is_behind || at < doubt.until)
+        self.restore.is_some_and(|restore| restore.is_behind || at < restore.until)
     }
 
-    /// Returns whether a doubt is pending, that is, not yet cleared by a response or a
-    /// write.
+    /// Returns whether a restore is unverified, that is, not yet cleared by a response or
+    /// a write.
     pub fn has_doubt(&self) -> bool {
-        self.doubt.is_some()
+        self.restore.is_some()
     }
 
-    /// Returns when lost writes will have been repeated; `None` without a pending doubt.
+    /// Returns when lost writes will have been repeated; `None` without an
+    /// unverified restore.
     pub fn doubted_until(&self) -> Option<UnixMs> {
-        self.doubt.map(|doubt| doubt.until)
+        self.restore.map(|restore| restore.until)
     }
 
     /// Returns the time at which the data was last confirmed to be current.
@@ -112,9 +117,9 @@
     }
 }
 
-impl Doubt {
+impl UnverifiedRestore {
     /// Records a response to a call made at `asked_at`.
-    fn note_answer(&mut self, asked_at: UnixMs) {
+    fn record_response(&mut self, asked_at: UnixMs) {
         if std::mem::take(&mut self.failed_calls) >= MIN_OUTAGE_CALLS {
             self.until = self.until.max(asked_at.plus_ms(RECOVERY_GRACE_MS));
         }
--- a/crates/bilberry-core/src/shared_watch.rs
+++ b/crates/bilberry-core/src/shared_watch.rs
@@ -12,7 +12,7 @@
 /// The result of one watch call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Brought<T> {
-    /// The position after which changes were asked for.
+    /// The position after which changes were requested.
     pub from: StorePosition,
     /// The position up to which all changes were reported.
     pub to: StorePosition,
@@ -36,7 +36,7 @@
 pub enum WatchReply<T> {
     /// There were changes.
     News {
-        /// The position to ask from next.
+        /// The position for the next request.
         position: StorePosition,
         /// The changes.
         news: T,
@@ -46,7 +46,7 @@
     },
     /// There were no changes.
     Quiet {
-        /// The position to ask from next.
+        /// The position for the next request.
         position: StorePosition,
         /// The time at which the store had no changes, relative to the request's arrival.
         known_ms: i64,
--- a/crates/bilberry-core/tests/store_eras.rs
+++ b/crates/bilberry-core/tests/store_eras.rs
@@ -129,7 +129,8 @@
     freshness.confirm_read(UnixMs(11_000));
     freshness.confirm_quiet(UnixMs(11_000), 1_800, UnixMs(12_850));
     assert_eq!(freshness.confirmed_at(), UnixMs(10_000));
-    // If nothing was lost, nothing is written again and the doubt ends by time.
+    // If nothing was lost, nothing is written again and the restore counts as verified
+    // after some time.
     freshness.confirm_quiet(UnixMs(11_500), 1_500, UnixMs(13_010));
     assert_eq!(freshness.confirmed_at(), UnixMs(13_000));
 }
@@ -142,11 +143,11 @@
     freshness.note_copy(true);
     freshness.confirm_read(UnixMs(19_000));
     assert_eq!(freshness.confirmed_at(), UnixMs(10_000));
-    // A write by the operators ends the doubt, however late it comes.
+    // A write by the operators verifies the restore, however late it comes.
     freshness.note_written_again();
     freshness.confirm_read(UnixMs(19_100));
     assert_eq!(freshness.confirmed_at(), UnixMs(19_100));
-    // A second restore starts a new doubt.
+    // A second restore has to be verified again.
     freshness.doubt(UnixMs(19_500));
     freshness.note_copy(false);
     freshness.confirm_read(UnixMs(20_000));
@@ -154,7 +155,7 @@
 }
 
 #[test]
-fn an_outage_after_a_restore_restarts_the_doubt_period() {
+fn an_outage_after_a_restore_extends_the_unverified_period() {
     // The restored store is available only briefly before the next outage, so the
     // operators could not repeat the lost writes. Its next response still shows the
     // backup.
@@ -169,7 +170,7 @@
     assert_eq!(freshness.confirmed_at(), UnixMs(10_000));
     freshness.confirm_read(UnixMs(15_900));
     assert_eq!(freshness.confirmed_at(), UnixMs(15_900));
-    // A single failed call does not extend the doubt period.
+    // A single failed call does not extend the unverified period.
     freshness.doubt(UnixMs(20_000));
     freshness.note_copy(false);
     freshness.note_lost();
--- a/crates/bilberry-core/tests/store_eras_model.rs
+++ b/crates/bilberry-core/tests/store_eras_model.rs
@@ -457,7 +457,8 @@
             model.entry_calls_and_receives();
         }
         prop_assert_eq!(model.entry.version, model.store.newest());
-        // After the doubt period the state is confirmed, so callers are served again.
+        // After the unverified period the state is confirmed, so callers are served
+        // again.
         model.pass(MAX_REWRITE_MS);
         let before_ms = model.now_ms;
         model.entry_calls_and_receives();
