--- a/crates/bilberry-gateway/src/call.rs
+++ b/crates/bilberry-gateway/src/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request in the project's own terms, and the port that decodes it.
+//! The platform-independent form of a caller's request, and the trait that decodes it.
 
 use std::net::SocketAddr;
 
@@ -10,24 +10,24 @@
 use hyper::StatusCode;
 use thiserror::Error;
 
-/// What a caller's headers say of its request.
+/// The routing metadata in a caller's headers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Call {
-    /// The caller's name for this attempt.
+    /// The caller's identifier of this attempt.
     pub attempt: Name,
-    /// How long the caller waits, from the moment its request arrived.
+    /// The caller's timeout, counted from the arrival of its request.
     pub patience_ms: Option<u64>,
-    /// The key that names the customer.
+    /// The API key that identifies the customer.
     pub key: Option<Name>,
-    /// The model.
+    /// The requested model.
     pub model: Option<Name>,
-    /// The tokens of the whole prompt.
+    /// The length of the whole prompt, in tokens.
     pub prompt_tokens: u64,
-    /// The most tokens to generate.
+    /// The maximum number of tokens to generate.
     pub output_tokens: u64,
-    /// The prompt's parts in order; the last one is the request's own.
+    /// The prompt's parts in order; the last one is specific to this request.
     pub parts: Vec<PromptPart>,
-    /// The last event that the caller has.
+    /// The last event that the caller received.
     pub last_event: Option<u64>,
 }
 
@@ -36,149 +36,149 @@
 pub struct PromptPart {
     /// The part's identity.
     pub id: u64,
-    /// Its tokens.
+    /// The part's length in tokens.
     pub tokens: u64,
 }
 
 impl Call {
-    /// Returns the parts that other requests may share.
+    /// Returns the prompt parts that other requests may share.
     pub fn shared_parts(&self) -> &[PromptPart] {
         let shared = self.parts.len().saturating_sub(1);
         &self.parts[..shared]
     }
 
-    /// Returns the memory that the request needs when it runs.
+    /// Returns the KV cache capacity that the request needs, in tokens.
     pub fn memory_tokens(&self) -> u64 {
         self.prompt_tokens + self.output_tokens
     }
 
-    /// Returns the tokens that other requests may share.
+    /// Returns the length of the prompt parts that other requests may share, in tokens.
     pub fn shared_tokens(&self) -> u64 {
         self.shared_parts().iter().map(|part| part.tokens).sum()
     }
 }
 
-/// Why a request can't be understood.
+/// A request header that is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{header} is not valid: {reason}")]
 pub struct BadCall {
     /// The header.
     pub header: &'static str,
-    /// What is wrong with it, and what would be right.
+    /// What is wrong with the value and what is expected.
     pub reason: &'static str,
 }
 
-/// What the router tells an upstream about a request.
+/// The routing metadata that the gateway sends to an upstream with a request.
 #[derive(Debug, Clone, Default)]
 pub struct Dispatch {
-    /// The upstream that the request is meant for; another one must refuse it.
+    /// The upstream that the request is intended for; any other one must refuse it.
     pub upstream: Name,
-    /// How long the caller still waits.
+    /// The time left until the caller's deadline.
     pub left_ms: u64,
     /// The customer.
     pub customer: Option<Name>,
-    /// What separates cached prompts that must not be shared.
+    /// The cache salt, which separates cached prompts that must not be shared.
     pub salt: Option<String>,
-    /// Where the upstream may fetch cached parts that it lacks.
+    /// The address from which the upstream may fetch cached parts that it lacks.
     pub fetch_from: Option<SocketAddr>,
-    /// Where it is to keep the parts that it reads.
+    /// The address of the prompt store to which it saves the parts that it computes.
     pub save_to: Option<SocketAddr>,
-    /// Its urgency, 0 first and 9 last.
+    /// The scheduling priority, from 0 (first) to 9 (last).
     pub urgency: Option<u8>,
-    /// The version of the weights that it must run on.
+    /// The version of the weights that the request must run on.
     pub weights: Option<u64>,
-    /// The last event that the caller has.
+    /// The last event that the caller received.
     pub last_event: Option<u64>,
-    /// Where the request's memory is copied to as it grows.
+    /// The address to which the request's KV cache is copied as it grows.
     pub backup_to: Option<SocketAddr>,
-    /// Where a copy of the request's memory stands, and under which name.
+    /// The copy of the request's KV cache to resume from.
     pub resume_from: Option<MemoryCopy>,
 }
 
-/// A copy of a request's memory.
+/// A reference to a copy of a request's KV cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemoryCopy {
-    /// The upstream that named it.
+    /// The upstream that assigned the name.
     pub named_by: SocketAddr,
-    /// Its name there; that of the attempt where it grew as the request ran.
+    /// The copy's name at that upstream; the attempt's name if it was copied during the run.
     pub name: Name,
 }
 
-/// A run that is to be stopped, so that another upstream can go on with it.
+/// A call that stops a run, so that another upstream can take it over.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StopCall {
-    /// The upstream that runs it.
+    /// The upstream that runs the attempt.
     pub upstream: SocketAddr,
-    /// The attempt.
+    /// The attempt to stop.
     pub attempt: Name,
-    /// The upstream that is to go on.
+    /// The upstream that takes over the run.
     pub next: SocketAddr,
 }
 
-/// What an upstream says of a run that it is to stop.
+/// An upstream's reply to a call that stops a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StopReply {
-    /// It has stopped, and the next upstream holds its memory under this name.
+    /// The run has stopped, and the next upstream holds its KV cache under this name.
     Moved(Name),
-    /// It has stopped; its memory could not be handed over.
+    /// The run has stopped, but its KV cache could not be transferred.
     Stopped,
     /// There is no such run.
     NoSuchRun,
-    /// It does not say.
+    /// The reply does not tell the state of the run.
     Unclear,
 }
 
-/// What an upstream's answer is worth.
+/// The classification of an upstream's response.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// The upstream answered this request.
+    /// The upstream responded to this request.
     Answered,
-    /// It was full or too late; the request did not run there.
+    /// The upstream was full or the request arrived too late; the request did not run.
     Busy,
-    /// It has other weights than the request was meant for.
+    /// The upstream has other weights than the request requires.
     OtherWeights,
-    /// Another upstream has the address; the one that was meant is gone.
+    /// Another upstream now has the address; the intended one is gone.
     Replaced,
-    /// The answer belongs to another request.
+    /// The response belongs to another request.
     Crossed,
-    /// A success that bears no signature of its server.
+    /// A success response without the server's signature.
     Unsigned,
 }
 
-/// How loaded an upstream says it is.
+/// The load that an upstream reports.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests that run.
+    /// The number of running requests.
     pub running: u64,
-    /// Requests that wait.
+    /// The number of queued requests.
     pub waiting: u64,
-    /// Requests that it runs at once.
+    /// The number of requests that can run concurrently.
     pub slots: u64,
 }
 
-/// What an upstream says of itself in an answer, whatever it answers.
+/// The status that an upstream reports with any response.
 #[derive(Debug, Copy, Clone, Default, PartialEq, Eq)]
 pub struct ServerStatus {
-    /// How loaded it is, if it says so.
+    /// The upstream's load, if reported.
     pub load: Option<ServerLoad>,
-    /// Whether it is shutting down.
+    /// Whether the upstream is shutting down.
     pub is_leaving: bool,
-    /// For how long it asks this entry to send nothing, if it turned a request away.
+    /// How long this entry should send nothing, if the upstream rejected a request.
     pub retry_after_ms: Option<u64>,
 }
 
-/// Translates between a platform's headers and the router's terms.
+/// Translates between a platform's headers and the gateway's types.
 pub trait Dialect: Send + Sync + 'static {
-    /// Reads a caller's headers.
+    /// Decodes a caller's headers.
     fn decode(&self, headers: &HeaderMap) -> Result<Call, BadCall>;
 
     /// Returns the headers of a request to an upstream.
     fn request_headers(&self, inbound: &HeaderMap, dispatch: &Dispatch) -> HeaderMap;
 
-    /// Returns the headers of an upstream's answer as the caller gets them.
+    /// Returns the headers of the caller's response for those of an upstream's response.
     fn answer_headers(&self, outbound: &HeaderMap) -> HeaderMap;
 
-    /// Judges an upstream's answer to the attempt.
+    /// Classifies an upstream's response to the attempt.
     fn judge(
         &self,
         status: StatusCode,
@@ -187,12 +187,12 @@
         upstream: &str,
     ) -> Verdict;
 
-    /// Returns the call that has an upstream stop a run.
+    /// Builds the request that asks an upstream to stop a run.
     fn stop_call(&self, stop: &StopCall) -> Request<Full<Bytes>>;
 
-    /// Reads the answer to it.
+    /// Decodes the response to a stop request.
     fn stop_reply(&self, status: StatusCode, body: &[u8]) -> StopReply;
 
-    /// Reads what an upstream says of itself.
+    /// Decodes the status that an upstream reports with a response.
     fn server_status(&self, status: StatusCode, headers: &HeaderMap) -> ServerStatus;
 }
