--- a/crates/bilberry-gateway/src/backup.rs
+++ b/crates/bilberry-gateway/src/backup.rs
@@ -1,8 +1,8 @@
-//! Going on from a copy of a request's memory.
+//! Resumes a request from a backup of its KV cache.
 //!
-//! The load pattern: a stream that runs at most once, cut by the crash of its
-//! engine. Sent anew it might run twice. From a copy that another engine was
-//! given as the request ran, it goes on as the same run, once the first one is over.
+//! This applies to at-most-once streams whose engine crashes. A retry from the start could
+//! run the request twice. Another engine that received a copy of the KV cache during the
+//! run can instead continue that run, once the run at the first engine has ended.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -20,15 +20,16 @@
 use crate::MemoryCopy;
 use crate::Seat;
 use crate::Upstream;
-use crate::forward::Answer;
-use crate::stopping::DoubtfulRun;
-use crate::stopping::FirstRun;
+use crate::forward::UpstreamResponse;
+use crate::stopping::FirstRunEnd;
+use crate::stopping::RunTakeover;
 
 impl<D: Dialect, C: Clock> Gateway<D, C> {
-    /// Chooses the engine that keeps a copy of the request's memory.
+    /// Chooses the engine that keeps a backup of the request's KV cache.
     ///
-    /// One with the same weights, as memory made by others can't be gone on from;
-    /// near, as copies between data centres take twice as long; and with most room.
+    /// It must have the same weights, as a KV cache computed with others can't be used. An
+    /// engine in the same data centre is preferred, as copies between data centres take
+    /// twice as long; then the one with the most free memory.
     pub(crate) fn choose_backup(
         &self,
         job: &Job,
@@ -53,60 +54,60 @@
         best.map(|(_, peer)| peer.clone())
     }
 
-    /// Returns the run that the engine with the copy is to go on with.
-    pub(crate) fn doubtful_run(
+    /// Returns the run that the engine with the backup can take over, if there is one.
+    pub(crate) fn run_takeover(
         &self,
         job: &Job,
         upstream: &Arc<Upstream>,
-    ) -> Option<DoubtfulRun> {
-        let next = job.backup.clone()?;
+    ) -> Option<RunTakeover> {
+        let successor = job.backup.clone()?;
         let can_be_stopped = job.pool.engine.is_some_and(|engine| engine.stops_runs);
         let attempt = job.call.attempt.clone();
-        Some(DoubtfulRun {
+        Some(RunTakeover {
             attempt,
             upstream: upstream.clone(),
-            next,
+            successor,
             can_be_stopped,
             stream_is_open: AtomicBool::new(true),
-            asked_to_stop: AtomicBool::new(false),
+            stop_requested: AtomicBool::new(false),
         })
     }
 
-    /// Has the engine with the copy go on after the last event that was passed on.
+    /// Resumes the run on the engine with the backup, after the last event relayed.
     ///
-    /// `None` if there is no copy, and if the run may still go on at the first engine when
-    /// the caller's time is over.
+    /// Returns `None` if that fails or there is no backup, and if the first engine may still
+    /// run the request when the caller's deadline passes.
     pub(crate) async fn resume_from_backup(
         self: &Arc<Self>,
         job: &mut Job,
         last_event: Option<u64>,
         upstream: &Arc<Upstream>,
-        first_run: Option<FirstRun>,
-    ) -> Option<Answer> {
-        let Some(run) = self.doubtful_run(job, upstream) else {
-            job.add_detail("no engine kept a copy");
+        first_run_end: Option<FirstRunEnd>,
+    ) -> Option<UpstreamResponse> {
+        let Some(run) = self.run_takeover(job, upstream) else {
+            job.add_detail("no engine has a backup of the KV cache");
             return None;
         };
-        run.note_stream_closed();
+        run.mark_stream_closed();
         let left = job.deadline.left(self.clock.now());
-        let first_run = match first_run {
-            None => timeout(left, self.end_run(&run)).await.ok(),
+        let first_run_end = match first_run_end {
+            None => timeout(left, self.ensure_run_ended(&run)).await.ok(),
             known => known,
         };
-        let Some(first_run) = first_run else {
-            job.add_detail("its engine may still run it");
+        let Some(first_run_end) = first_run_end else {
+            job.add_detail("the first engine may still run the request");
             return None;
         };
         let backup = job.backup.take()?;
-        let copy = match first_run {
-            FirstRun::Moved(copy) => copy,
-            // Its memory may never have been copied; an engine that hangs looks for no
-            // copy and runs what reaches it, from the beginning.
-            FirstRun::Over(_) if last_event.is_none() => {
-                job.add_detail("nothing had come of it");
+        let copy = match first_run_end {
+            FirstRunEnd::Moved(copy) => copy,
+            // The KV cache may never have been copied. An engine that hangs does not look
+            // for a copy and runs the request from the beginning.
+            FirstRunEnd::Ended(_) if last_event.is_none() => {
+                job.add_detail("no event was received before the run ended");
                 return None;
             }
-            FirstRun::Over(_) => {
+            FirstRunEnd::Ended(_) => {
                 let name = job.call.attempt.clone();
                 MemoryCopy { named_by: backup.address, name }
             }
@@ -114,16 +115,20 @@
         let model = job.call.model.as_deref().unwrap_or_default();
         let now = self.clock.now();
         let version = backup.weights(model, now);
-        let barred = self.judge_weights(version, model, now) == Weights::Barred;
+        let barred = self.classify_weights(version, model, now) == Weights::Barred;
         let obstacle = match () {
-            _ if barred => Some("the copy's engine has older weights"),
-            _ if backup.is_leaving() => Some("the copy's engine leaves or is gone"),
+            _ if barred => Some("the backup engine's weights are outdated"),
+            _ if backup.is_leaving() => {
+                Some("the backup engine is shutting down or has stopped")
+            }
             _ if backup.paused_until(now).is_some() => {
-                Some("the copy's engine asked for a pause")
+                Some("the backup engine asked for a pause")
+            }
+            _ if self.is_suspect(job) => {
+                Some("the request may crash the backup engine as well")
             }
-            _ if self.is_suspect(job) => Some("it may crash the next engine as well"),
             _ if !self.may_repeat(&job.pool.name, Repeat::GoOn) => {
-                Some("no repeats are left")
+                Some("the retry budget is exhausted")
             }
             _ => None,
         };
@@ -134,14 +139,14 @@
         let changed = self.upstreams.changed.clone();
         let seat = Seat::take(backup, job.call.memory_tokens(), 0, changed);
         let last_event = last_event.or(job.call.last_event);
-        let answer = self.send_to_copy(job, seat, last_event, copy).await;
-        self.metrics.count_send(match answer {
+        let response = self.send_to_backup(job, seat, last_event, copy).await;
+        self.metrics.count_send(match response {
             Some(_) => "resumed_from_copy",
             None => "no_copy",
         });
-        if answer.is_none() {
-            job.add_detail("the copy was not there");
+        if response.is_none() {
+            job.add_detail("the backup engine did not resume the run");
         }
-        answer.filter(|answer| answer.response.status() == StatusCode::OK)
+        response.filter(|response| response.http.status() == StatusCode::OK)
     }
 }
--- a/crates/bilberry-gateway/src/connections.rs
+++ b/crates/bilberry-gateway/src/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams, kept open between requests.
+//! A pool of HTTP connections to upstreams.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -24,53 +24,53 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// How long a connection may take to be made.
+/// The timeout for establishing a connection.
 ///
-/// A hundred round trips within a region. A host without power never answers,
-/// and its requests have to reach another one within their target.
-const CONNECT_MS: u64 = 150;
+/// About a hundred round trips within a region. A host without power never answers, and
+/// the request must still reach another host within its target latency.
+const CONNECT_TIMEOUT_MS: u64 = 150;
 
-/// After which time without an acknowledgement a connection is given up.
+/// How long sent data may stay unacknowledged before the connection is closed.
 ///
-/// A host that loses power or is cut off sends no reset; without this, streams
-/// to it would hang until their callers leave.
-const UNACKNOWLEDGED_MS: u64 = 1_500;
+/// A host that loses power or is partitioned sends no reset. Without this timeout,
+/// streams from it would hang until their callers disconnect.
+const TCP_USER_TIMEOUT_MS: u64 = 1_500;
 
-/// After which silence, and how often, a host is asked whether a connection is there.
+/// The idle time before the first TCP keepalive probe, and the interval between probes.
 ///
-/// The shortest that systems allow.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+/// The shortest value that operating systems allow.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long an idle connection is kept if the upstream names no time.
-const DEFAULT_IDLE_MS: u64 = 4_000;
+/// How long an idle connection is kept if the upstream sends no keep-alive timeout.
+const DEFAULT_IDLE_TIMEOUT_MS: u64 = 4_000;
 
-/// How much sooner than the upstream an idle connection is closed.
+/// How long before the upstream's own timeout an idle connection is closed.
 ///
-/// A request that crosses the upstream's close would be lost.
+/// A request sent while the upstream closes the connection would be lost.
 const IDLE_MARGIN_MS: u64 = 700;
 
-/// Why a request did not get an answer.
+/// Why a request did not get a response.
 #[derive(Debug, Error)]
 pub enum SendError {
-    /// No byte of the request left; it can't have run.
+    /// No byte of the request was written, so it can't have run.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// It was sent, or part of it; it may have run, and may still run.
-    #[error("no answer: {0}")]
-    Unanswered(String),
+    /// At least part of the request was written, so it may have run or may still run.
+    #[error("no response: {0}")]
+    NoResponse(String),
 }
 
-/// Why a connection was not made.
+/// Why a connection could not be established.
 #[derive(Debug, Error)]
 pub(crate) enum ConnectError {
-    /// Nothing listens there.
-    #[error("the connection is refused")]
+    /// Nothing listens on the port.
+    #[error("connection refused")]
     Refused,
-    /// There was no sign in time, or no way.
-    #[error("no connection in time: {0}")]
-    Silent(String),
-    /// It failed for another reason, which says nothing of the other side.
-    #[error("no connection: {0}")]
+    /// The connection attempt timed out, or there is no route to the host.
+    #[error("host unreachable or connection timed out: {0}")]
+    Unreachable(String),
+    /// The attempt failed for a reason that says nothing about the state of the host.
+    #[error("could not connect: {0}")]
     Failed(String),
 }
 
@@ -80,20 +80,20 @@
     }
 }
 
-/// Connections to upstreams.
+/// A pool of idle connections to upstreams.
 #[derive(Debug)]
 pub struct Connections<C> {
     clock: C,
-    idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
+    idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    until: UnixMs,
+    expires_at: UnixMs,
 }
 
-/// One connection; closed at once when dropped.
+/// One connection, closed when dropped.
 #[derive(Debug)]
 pub struct Connection {
     address: SocketAddr,
@@ -103,18 +103,18 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // Closing is how an upstream learns that its work is no longer wanted.
+        // Closing the connection cancels the request at the upstream.
         self.driver.abort();
     }
 }
 
 impl<C: Clock> Connections<C> {
-    /// Creates a pool with no connection.
+    /// Creates an empty pool.
     pub fn new(clock: C) -> Self {
         Self { clock, idle: Mutex::new(HashMap::new()) }
     }
 
-    /// Returns a connection, one that is kept open if `reuse` allows it.
+    /// Returns a connection, preferably an idle one if `reuse` is set.
     pub async fn get(
         &self,
         address: SocketAddr,
@@ -126,31 +126,33 @@
         }
     }
 
-    /// Keeps a connection for later requests, if its last answer allows it.
-    pub fn keep(&self, connection: Connection, answer: &HeaderMap) {
-        let Some(idle_ms) = idle_ms(answer) else { return };
+    /// Returns a connection to the pool if its last response allows reuse.
+    pub fn put_idle(&self, connection: Connection, response_headers: &HeaderMap) {
+        let Some(idle_timeout_ms) = idle_timeout_ms(response_headers) else { return };
         if connection.sender.is_closed() {
             return;
         }
-        let until = self.clock.now().plus_ms(idle_ms);
+        let expires_at = self.clock.now().plus_ms(idle_timeout_ms);
         let mut idle = self.idle.lock().unwrap();
-        idle.entry(connection.address).or_default().push(Idle { connection, until });
+        idle.entry(connection.address)
+            .or_default()
+            .push(IdleConnection { connection, expires_at });
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections whose idle timeout has passed.
     pub fn close_idle(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.lock().unwrap();
         for connections in idle.values_mut() {
             connections.retain(|idle| {
-                !idle.until.has_passed_at(now) && !idle.connection.sender.is_closed()
+                !idle.expires_at.has_passed_at(now) && !idle.connection.sender.is_closed()
             });
         }
         idle.retain(|_, connections| !connections.is_empty());
     }
 
-    /// Closes all idle connections to an address, which may hang unnoticed.
-    pub fn drop_idle(&self, address: SocketAddr) {
+    /// Closes all idle connections to an address, as they may be dead without a reset.
+    pub fn close_idle_to(&self, address: SocketAddr) {
         self.idle.lock().unwrap().remove(&address);
     }
 
@@ -158,9 +160,9 @@
         let now = self.clock.now();
         let mut idle = self.idle.lock().unwrap();
         let connections = idle.get_mut(&address)?;
-        // The one used last is the least likely to have been closed meanwhile.
-        while let Some(Idle { connection, until }) = connections.pop() {
-            if !until.has_passed_at(now) && connection.sender.is_ready() {
+        // The most recently used connection is the least likely to have been closed.
+        while let Some(IdleConnection { connection, expires_at }) = connections.pop() {
+            if !expires_at.has_passed_at(now) && connection.sender.is_ready() {
                 return Some(connection);
             }
         }
@@ -169,39 +171,40 @@
 }
 
 impl Connection {
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, SendError> {
         self.sender.try_send_request(request).await.map_err(|mut failed| {
-            // The library hands a request back only if none of it was written.
+            // hyper returns the request only if none of it was written.
             let reason = failed.error().to_string();
             match failed.take_message() {
                 Some(_) => SendError::NotSent(reason),
-                None => SendError::Unanswered(reason),
+                None => SendError::NoResponse(reason),
             }
         })
     }
 }
 
-/// Makes a new connection.
+/// Opens a new connection.
 pub(crate) async fn connect(address: SocketAddr) -> Result<Connection, ConnectError> {
     let connecting = TcpStream::connect(address);
-    let stream = match timeout(Duration::from_millis(CONNECT_MS), connecting).await {
-        Ok(Ok(stream)) => stream,
-        Ok(Err(error)) => return Err(connect_error(&error)),
-        Err(late) => return Err(ConnectError::Silent(late.to_string())),
-    };
+    let stream =
+        match timeout(Duration::from_millis(CONNECT_TIMEOUT_MS), connecting).await {
+            Ok(Ok(stream)) => stream,
+            Ok(Err(error)) => return Err(connect_error(&error)),
+            Err(elapsed) => return Err(ConnectError::Unreachable(elapsed.to_string())),
+        };
     set_options(&stream);
-    keep_alive(&stream);
+    enable_keepalive(&stream);
     reset_on_close(&stream);
     let handshake = http1::Builder::new().handshake(TokioIo::new(stream)).await;
     let failed = |error: hyper::Error| ConnectError::Failed(error.to_string());
     let (sender, connection) = handshake.map_err(failed)?;
     let driver = tokio::spawn(async move {
         if let Err(error) = connection.await {
-            log::debug!("a connection to {address} ended: {error}");
+            log::debug!("connection to {address} failed: {error}");
         }
     });
     Ok(Connection { address, sender, driver })
@@ -212,53 +215,61 @@
         ErrorKind::ConnectionRefused => ConnectError::Refused,
         ErrorKind::TimedOut
         | ErrorKind::HostUnreachable
-        | ErrorKind::NetworkUnreachable => ConnectError::Silent(error.to_string()),
+        | ErrorKind::NetworkUnreachable => ConnectError::Unreachable(error.to_string()),
         _ => ConnectError::Failed(error.to_string()),
     }
 }
 
-/// Has a connection end on which a host acknowledges nothing though nothing is sent.
+/// Enables TCP keepalive, so that a connection to a lost host fails while it is idle.
 ///
-/// A stream that waits for its engine sends nothing, so it would stay open for ever at a
-/// host without power, and could not be told from one at a host that stands still.
-fn keep_alive(stream: &TcpStream) {
-    let keepalive = TcpKeepalive::new().with_time(KEEPALIVE).with_interval(KEEPALIVE);
+/// A connection that waits for a stream's next event sends nothing. Without probes it
+/// would stay open forever if the host lost power, and could not be told from one to a
+/// host that is suspended.
+fn enable_keepalive(stream: &TcpStream) {
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL);
     if let Err(error) = SockRef::from(stream).set_tcp_keepalive(&keepalive) {
-        log::warn!("no keepalive to an upstream, a lost host shows late: {error}");
+        log::warn!("could not enable TCP keepalive; host loss is detected late: {error}");
     }
 }
 
-/// Has a close discard what has not arrived yet.
+/// Makes closing the socket send a reset and discard undelivered data.
 ///
-/// Closed in the usual way, a connection to a host that is cut off still delivers
-/// its request once the link heals, seconds after its caller has left.
+/// After an ordinary close, the kernel still delivers the request to a partitioned host
+/// once the link recovers, seconds after the caller disconnected.
 fn reset_on_close(stream: &TcpStream) {
     if let Err(error) = SockRef::from(stream).set_linger(Some(Duration::ZERO)) {
-        log::warn!("a socket option was refused, given up requests may arrive: {error}");
+        log::warn!(
+            "could not set SO_LINGER; cancelled requests may still be delivered: {error}"
+        );
     }
 }
 
-/// Sends small writes at once and notices a silent peer.
+/// Disables Nagle's algorithm and sets the timeout for unacknowledged data.
 pub fn set_options(stream: &TcpStream) {
     let socket = SockRef::from(stream);
-    let unacknowledged = Duration::from_millis(UNACKNOWLEDGED_MS);
+    let user_timeout = Duration::from_millis(TCP_USER_TIMEOUT_MS);
     let options =
-        [socket.set_tcp_nodelay(true), socket.set_tcp_user_timeout(Some(unacknowledged))];
+        [socket.set_tcp_nodelay(true), socket.set_tcp_user_timeout(Some(user_timeout))];
     for error in options.into_iter().filter_map(Result::err) {
-        log::warn!("a socket option was refused, silent peers show later: {error}");
+        log::warn!(
+            "could not set a TCP option; unresponsive peers are detected late: {error}"
+        );
     }
 }
 
-/// Returns for how long a connection may stay idle; `None` if it is closing.
-fn idle_ms(answer: &HeaderMap) -> Option<u64> {
-    let text = |name: &str| answer.get(name).and_then(|value| value.to_str().ok());
+/// Returns how long a connection may stay idle, or `None` if the upstream closes it.
+fn idle_timeout_ms(response_headers: &HeaderMap) -> Option<u64> {
+    let text =
+        |name: &str| response_headers.get(name).and_then(|value| value.to_str().ok());
     if text("connection").is_some_and(|c| c.eq_ignore_ascii_case("close")) {
         return None;
     }
-    let named_s = text("keep-alive").and_then(|value| {
+    let timeout_s = text("keep-alive").and_then(|value| {
         let parameters = value.split(',').map(str::trim);
         parameters.filter_map(|p| p.strip_prefix("timeout=")).next()?.parse::<u64>().ok()
     });
-    let named_ms = named_s.map_or(DEFAULT_IDLE_MS, |seconds| seconds * 1_000);
-    named_ms.checked_sub(IDLE_MARGIN_MS)
+    let timeout_ms = timeout_s.map_or(DEFAULT_IDLE_TIMEOUT_MS, |seconds| seconds * 1_000);
+    timeout_ms.checked_sub(IDLE_MARGIN_MS)
 }
--- a/crates/bilberry-gateway/src/dispatch.rs
+++ b/crates/bilberry-gateway/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! What an upstream is sent: the request, and what it may use of cached prompts.
+//! Builds the request for an upstream, including its use of cached prompts.
 
 use std::net::SocketAddr;
 
@@ -22,7 +22,7 @@
 use crate::Seat;
 
 impl<D: Dialect, C: Clock> Gateway<D, C> {
-    /// Builds the request that an upstream gets.
+    /// Builds the request for an upstream.
     pub(crate) fn request(
         &self,
         job: &mut Job,
@@ -43,7 +43,7 @@
             ..Dispatch::default()
         };
         if let Some(weights) = job.weights.filter(|_| is_engine) {
-            self.name_cache(job, seat, weights, &mut dispatch);
+            self.set_cache_fields(job, seat, weights, &mut dispatch);
         }
         let headers = self.dialect.request_headers(&job.headers, &dispatch);
         let mut request = Request::new(Full::new(job.body.clone()));
@@ -54,8 +54,8 @@
         request
     }
 
-    /// Says under which salt parts are cached, where to fetch and keep them.
-    fn name_cache(
+    /// Sets the cache salt, and where cached prompt parts are fetched from and saved to.
+    fn set_cache_fields(
         &self,
         job: &mut Job,
         seat: &Seat,
@@ -67,13 +67,14 @@
         let shared_tokens = job.call.shared_tokens();
         if shared_tokens > 0 {
             let store = self.stores.home(job.affinity());
-            let supply = self.supply(job, seat, &keys, store.as_deref());
+            let supply = self.prompt_supply(job, seat, &keys, store.as_deref());
             dispatch.fetch_from = supply.source;
             job.supplied_tokens = supply.tokens;
-            let own = job.call.prompt_tokens.saturating_sub(shared_tokens);
+            let own_tokens = job.call.prompt_tokens.saturating_sub(shared_tokens);
             dispatch.save_to = store.and_then(|store| {
-                let lacking = shared_tokens - keys.kept_tokens(&store.kept, now);
-                is_worth_keeping(lacking, own).then_some(store.terms.address)
+                let missing_tokens = shared_tokens - keys.kept_tokens(&store.kept, now);
+                is_worth_keeping(missing_tokens, own_tokens)
+                    .then_some(store.terms.address)
             });
             if dispatch.resume_from.is_none() {
                 self.begin_reading(job, seat, supply.tokens);
@@ -83,14 +84,14 @@
         dispatch.salt = Some(keys.salt().to_string());
     }
 
-    /// Returns what an upstream has of the shared prompt, or may fetch, and from where.
-    fn supply(
+    /// Returns how much of the shared prompt an upstream holds or can fetch, and from where.
+    fn prompt_supply(
         &self,
         job: &Job,
         seat: &Seat,
         keys: &PromptKeys,
         store: Option<&PromptStore>,
-    ) -> Supply {
+    ) -> PromptSupply {
         let now = self.clock.now();
         let own_tokens = keys.held_tokens(&seat.upstream, now);
         let peers = self.upstreams.of(&job.pool.name);
@@ -114,17 +115,19 @@
             chosen => chosen,
         };
         let (source, tokens) = match chosen {
-            Some(Source::Peer(at)) => (Some(others[at].address), copies[at].held_tokens),
+            Some(Source::Peer(index)) => {
+                (Some(others[index].address), copies[index].held_tokens)
+            }
             Some(Source::Store) => {
                 (store.map(|store| store.terms.address), kept.unwrap_or_default())
             }
             None => (None, 0),
         };
-        Supply { source, tokens: tokens.max(own_tokens) }
+        PromptSupply { source, tokens: tokens.max(own_tokens) }
     }
 
-    /// Notes that the answer has begun, so that the prompt has been read.
-    pub(crate) fn note_prompt_read(&self, job: &mut Job, seat: &mut Seat) {
+    /// Records that the response has started, which means that the prefill is done.
+    pub(crate) fn record_prompt_read(&self, job: &mut Job, seat: &mut Seat) {
         seat.prompt_is_read();
         self.end_reading(job, seat);
         let Some(weights) = job.weights.filter(|_| !seat.upstream.has_ended()) else {
@@ -137,10 +140,10 @@
     }
 }
 
-/// What an upstream need not read of a shared prompt.
-struct Supply {
-    /// Where it may fetch what it lacks.
+/// The part of a shared prompt that an upstream need not compute.
+struct PromptSupply {
+    /// The address from which it may fetch missing parts.
     source: Option<SocketAddr>,
-    /// The shared tokens that it holds or that the source should have.
+    /// The number of shared tokens that it holds or that the source should hold.
     tokens: u64,
 }
--- a/crates/bilberry-gateway/src/forward.rs
+++ b/crates/bilberry-gateway/src/forward.rs
@@ -1,4 +1,4 @@
-//! Offering a request to upstreams until one answers it.
+//! Sends a request to upstreams until one of them responds.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,120 +21,122 @@
 use crate::SendError;
 use crate::Verdict;
 
-/// How many sends that did not run are allowed beyond the route's attempts.
+/// How many sends are allowed beyond the route's attempts if the request did not run.
 ///
-/// An upstream that is full or has other weights costs a round trip; three of
-/// them in a row mean that this entry's view is wrong altogether.
+/// A send to an upstream that is full or has other weights costs a round trip. Three such
+/// sends in a row mean that this entry's view of the upstreams is wrong.
 const EXTRA_SENDS: u32 = 2;
 
-/// How long an upstream that said it is full is left alone.
+/// How long no requests are sent to an upstream that reported that it is full.
 const BUSY_PAUSE_MS: u64 = 60;
 
-/// The part of its target after which a silent plain call is sent elsewhere.
-const PLAIN_SILENCE_PART: f64 = 0.7;
+/// The share of its target latency after which a plain call without a response is retried.
+const PLAIN_TIMEOUT_FACTOR: f64 = 0.7;
 
-/// How many times its target a silent stream is waited for.
+/// The timeout for the start of a stream, as a multiple of its target latency.
 ///
-/// A stream's first event waits for its prompt to be read, so silence within
-/// the target says nothing.
-const STREAM_SILENCE_PART: f64 = 2.0;
+/// A stream's first event comes after the prefill of its prompt, so silence within the
+/// target latency says nothing about the upstream.
+const STREAM_TIMEOUT_FACTOR: f64 = 2.0;
 
-/// How many times its target a silent stream is waited for at a live engine.
+/// The same multiple for an engine that its sidecar reports as alive.
 ///
-/// An engine that its sidecar sees alive is slow because it has much to do. A
-/// second send would add to that: in an overload by lost engines, a sixth of all
-/// streams were sent twice with the shorter time.
-const LIVE_STREAM_SILENCE_PART: f64 = 5.0;
+/// Such an engine is slow because it is loaded, and a second send would add to the load.
+/// With the shorter timeout, a sixth of all streams were sent twice in an overload that
+/// followed the loss of engines.
+const LIVE_STREAM_TIMEOUT_FACTOR: f64 = 5.0;
 
-/// An upstream's answer whose body is still to come.
+/// The head of an upstream's response, with the body still to be read.
 #[derive(Debug)]
-pub(crate) struct Answer {
-    pub response: Response<Incoming>,
+pub(crate) struct UpstreamResponse {
+    pub http: Response<Incoming>,
     pub connection: Connection,
     pub seat: Seat,
 }
 
-/// What came of one send.
-enum Sent {
-    Answered(Box<Answer>),
-    /// It did not run there and another upstream may take it.
+/// The outcome of one send.
+enum SendOutcome {
+    Responded(Box<UpstreamResponse>),
+    /// The request did not run, so it may be sent to another upstream.
     NotRun(&'static str),
-    /// It may have run, and may still run.
-    Unclear(&'static str),
-    /// The time is over.
+    /// The request may have run or may still run.
+    MayHaveRun(&'static str),
+    /// The caller's deadline has passed.
     Expired,
 }
 
 impl<D: Dialect, C: Clock> Gateway<D, C> {
-    /// Offers the request to upstreams until one answers.
+    /// Sends the request to upstreams until one responds.
     ///
-    /// A failure that a server answered is kept while others are asked, and passed
-    /// on if none of them does better. Once a send may have run, no refusal says
-    /// that the request did not: what a later upstream says speaks for itself only.
+    /// An error response is kept while other upstreams are tried, and relayed if none of
+    /// them succeeds. Once a send may have run, no refusal claims that the request did not
+    /// run: a later upstream's refusal covers only the send to that upstream.
     pub(crate) async fn forward(
         self: &Arc<Self>,
         job: &mut Job,
-    ) -> Result<Answer, Refusal> {
+    ) -> Result<UpstreamResponse, Refusal> {
         let mut failed = None;
-        match (self.offer(job, &mut failed).await, failed) {
-            (Ok(answer), _) => Ok(answer),
-            (Err(_), Some(answer)) => Ok(answer),
-            (Err(refusal), None) if job.runs > 0 && refusal.says_not_run() => {
-                Err(Refusal::Unanswered)
+        match (self.try_upstreams(job, &mut failed).await, failed) {
+            (Ok(response), _) => Ok(response),
+            (Err(_), Some(response)) => Ok(response),
+            (Err(refusal), None) if job.runs > 0 && refusal.guarantees_not_run() => {
+                Err(Refusal::OutcomeUnknown)
             }
             (Err(refusal), None) => Err(refusal),
         }
     }
 
-    async fn offer(
+    async fn try_upstreams(
         self: &Arc<Self>,
         job: &mut Job,
-        failed: &mut Option<Answer>,
-    ) -> Result<Answer, Refusal> {
+        failed: &mut Option<UpstreamResponse>,
+    ) -> Result<UpstreamResponse, Refusal> {
         loop {
-            let seat = self.seat(job).await?;
+            let seat = self.acquire_seat(job).await?;
             self.check_quarantine(job)?;
             let upstream = seat.upstream.clone();
             match self.send(job, seat).await {
-                Sent::Answered(answer) if self.wants_other_answer(job, &answer) => {
+                SendOutcome::Responded(response)
+                    if self.should_retry_elsewhere(job, &response) =>
+                {
                     self.metrics.count_send("failed_there");
-                    job.detail = format!("status {}", answer.response.status().as_u16());
+                    job.detail = format!("status {}", response.http.status().as_u16());
                     if !self.may_repeat(&job.pool.name, Repeat::Anew) {
-                        return Ok(*answer);
+                        return Ok(*response);
                     }
-                    *failed = Some(*answer);
+                    *failed = Some(*response);
                 }
-                Sent::Answered(answer) => {
+                SendOutcome::Responded(response) => {
                     self.metrics.count_send("answered");
-                    return Ok(*answer);
+                    return Ok(*response);
                 }
-                Sent::NotRun(reason) => {
+                SendOutcome::NotRun(reason) => {
                     job.sent_to = None;
                     self.metrics.count_send(reason);
                     job.detail = reason.to_string();
-                    self.check_another_send(job)?;
+                    self.check_resend(job)?;
                 }
-                Sent::Unclear(reason) => {
+                SendOutcome::MayHaveRun(reason) => {
                     self.metrics.count_send(reason);
                     job.detail = reason.to_string();
                     job.runs += 1;
                     let resumed = self.resume_from_backup(job, None, &upstream, None);
-                    if let Some(answer) = resumed.await {
-                        return Ok(answer);
+                    if let Some(response) = resumed.await {
+                        return Ok(response);
                     }
-                    self.check_another_run(job)?;
+                    self.check_rerun(job)?;
                 }
-                Sent::Expired => {
+                SendOutcome::Expired => {
                     self.metrics.count_send("expired");
-                    return Err(Refusal::Expired);
+                    return Err(Refusal::DeadlinePassed);
                 }
             }
         }
     }
 
-    /// Reports whether a failure that a server answered is worth another try.
-    fn wants_other_answer(&self, job: &mut Job, answer: &Answer) -> bool {
-        let failed = answer.response.status().is_server_error();
+    /// Reports whether an error response should be retried on another upstream.
+    fn should_retry_elsewhere(&self, job: &mut Job, response: &UpstreamResponse) -> bool {
+        let failed = response.http.status().is_server_error();
         if !failed || !job.route.kind.is_repeatable() {
             return false;
         }
@@ -142,24 +144,24 @@
         self.may_run_after(job, job.runs) && self.has_time(job)
     }
 
-    fn check_another_send(&self, job: &Job) -> Result<(), Refusal> {
-        let spent = job.sends >= job.route.max_attempts + EXTRA_SENDS;
-        // A connection that was never made put no load on anyone.
-        let free = job.detail == NOT_CONNECTED;
-        match !spent
+    fn check_resend(&self, job: &Job) -> Result<(), Refusal> {
+        let attempts_used_up = job.sends >= job.route.max_attempts + EXTRA_SENDS;
+        // A connection that was never established put no load on any upstream.
+        let costs_nothing = job.detail == NOT_CONNECTED;
+        match !attempts_used_up
             && self.has_time(job)
-            && (free || self.may_repeat(&job.pool.name, Repeat::Anew))
+            && (costs_nothing || self.may_repeat(&job.pool.name, Repeat::Anew))
         {
             true => Ok(()),
-            false => Err(Refusal::NoRoom),
+            false => Err(Refusal::NoCapacity),
         }
     }
 
-    fn check_another_run(&self, job: &Job) -> Result<(), Refusal> {
+    fn check_rerun(&self, job: &Job) -> Result<(), Refusal> {
         let allowed = self.may_run_after(job, job.runs) && self.has_time(job);
         match allowed && self.may_repeat(&job.pool.name, Repeat::Anew) {
             true => Ok(()),
-            false => Err(Refusal::Unanswered),
+            false => Err(Refusal::OutcomeUnknown),
         }
     }
 
@@ -167,23 +169,23 @@
         !job.deadline.has_passed_at(self.clock.now())
     }
 
-    async fn send(self: &Arc<Self>, job: &mut Job, seat: Seat) -> Sent {
+    async fn send(self: &Arc<Self>, job: &mut Job, seat: Seat) -> SendOutcome {
         let upstream = seat.upstream.clone();
         job.tried.push(upstream.clone());
         job.backup = self.choose_backup(job, &upstream);
         let last_event = job.call.last_event;
         let request = self.request(job, &seat, last_event, None);
-        // A call that runs once gets a connection of its own. On a kept one, an
-        // answer that crosses over from another call, or a close at the moment of
-        // sending, would leave it unknown whether the call ran.
+        // An at-most-once call gets a new connection. On a reused one, a response to
+        // another call, or a close during the send, would leave it unknown whether the
+        // call ran.
         let reuse = job.route.kind != CallKind::Once;
         let connected = self.connections.get(upstream.address, reuse).await;
         let mut connection = match connected {
             Ok(connection) => connection,
             Err(_) => {
                 upstream.record_failure(self.clock.now());
-                self.connections.drop_idle(upstream.address);
-                return Sent::NotRun(NOT_CONNECTED);
+                self.connections.close_idle_to(upstream.address);
+                return SendOutcome::NotRun(NOT_CONNECTED);
             }
         };
         job.sends += 1;
@@ -197,37 +199,37 @@
         let sent = tokio::select! {
             sent = connection.send(request) => sent,
             _ = upstream.lost(), if repeatable => {
-                Err(SendError::Unanswered("the upstream is down".to_string()))
+                Err(SendError::NoResponse("the upstream is down".to_string()))
             }
-            _ = sleep(silence(job, upstream.is_followed(now))), if may_repeat => {
+            _ = sleep(response_timeout(job, upstream.is_followed(now))), if may_repeat => {
                 upstream.record_failure(self.clock.now());
-                return Sent::Unclear("silent");
+                return SendOutcome::MayHaveRun("silent");
             }
-            _ = sleep(left) => return Sent::Expired,
+            _ = sleep(left) => return SendOutcome::Expired,
         };
         match sent {
-            Ok(response) => self.judge(job, response, connection, seat),
+            Ok(response) => self.classify_response(job, response, connection, seat),
             Err(SendError::NotSent(_)) => {
                 upstream.record_failure(self.clock.now());
-                Sent::NotRun(NOT_CONNECTED)
+                SendOutcome::NotRun(NOT_CONNECTED)
             }
-            Err(SendError::Unanswered(_)) => {
+            Err(SendError::NoResponse(_)) => {
                 upstream.record_failure(self.clock.now());
                 self.record_interrupted_run(job, &upstream);
-                self.connections.drop_idle(upstream.address);
-                Sent::Unclear("no_answer")
+                self.connections.close_idle_to(upstream.address);
+                SendOutcome::MayHaveRun("no_answer")
             }
         }
     }
 
-    /// Sends the request to the engine that keeps a copy of its memory.
-    pub(crate) async fn send_to_copy(
+    /// Sends the request to the engine that holds a backup of its KV cache.
+    pub(crate) async fn send_to_backup(
         self: &Arc<Self>,
         job: &mut Job,
         seat: Seat,
         last_event: Option<u64>,
         copy: MemoryCopy,
-    ) -> Option<Answer> {
+    ) -> Option<UpstreamResponse> {
         let upstream = seat.upstream.clone();
         job.tried.push(upstream.clone());
         let request = self.request(job, &seat, last_event, Some(copy));
@@ -245,19 +247,19 @@
                 return None;
             }
         };
-        match self.judge(job, response, connection, seat) {
-            Sent::Answered(answer) => Some(*answer),
+        match self.classify_response(job, response, connection, seat) {
+            SendOutcome::Responded(response) => Some(*response),
             _ => None,
         }
     }
 
-    fn judge(
+    fn classify_response(
         &self,
         job: &Job,
         response: Response<Incoming>,
         connection: Connection,
         seat: Seat,
-    ) -> Sent {
+    ) -> SendOutcome {
         let verdict = self.dialect.judge(
             response.status(),
             response.headers(),
@@ -272,36 +274,44 @@
         match verdict {
             Verdict::Answered => {
                 seat.upstream.note_answer();
-                Sent::Answered(Box::new(Answer { response, connection, seat }))
+                SendOutcome::Responded(Box::new(UpstreamResponse {
+                    http: response,
+                    connection,
+                    seat,
+                }))
             }
             Verdict::Busy => {
                 seat.upstream.record_busy(self.clock.now(), BUSY_PAUSE_MS);
-                Sent::NotRun("busy")
+                SendOutcome::NotRun("busy")
             }
             Verdict::OtherWeights => {
                 seat.upstream.record_busy(self.clock.now(), BUSY_PAUSE_MS);
-                Sent::NotRun("other_weights")
+                SendOutcome::NotRun("other_weights")
             }
             Verdict::Replaced => {
                 seat.upstream.leave();
-                log::info!(target: "upstream", upstream = seat.upstream.id.as_str(); "replaced at its address");
-                Sent::NotRun("replaced")
+                log::info!(
+                    target: "upstream",
+                    upstream = seat.upstream.id.as_str();
+                    "another upstream took over its address"
+                );
+                SendOutcome::NotRun("replaced")
             }
-            Verdict::Crossed => Sent::Unclear("crossed"),
-            Verdict::Unsigned => Sent::Unclear("unsigned"),
+            Verdict::Crossed => SendOutcome::MayHaveRun("crossed"),
+            Verdict::Unsigned => SendOutcome::MayHaveRun("unsigned"),
         }
     }
 }
 
-/// The word for a send of which no byte left.
+/// The name, in logs and metrics, of a send of which no byte was written.
 const NOT_CONNECTED: &str = "not_connected";
 
-/// Returns how long the head of an answer is waited for before another try.
-fn silence(job: &Job, is_followed: bool) -> Duration {
-    let part = match job.route.kind.is_stream() {
-        true if is_followed => LIVE_STREAM_SILENCE_PART,
-        true => STREAM_SILENCE_PART,
-        false => PLAIN_SILENCE_PART,
+/// Returns how long to wait for the head of a response before a retry.
+fn response_timeout(job: &Job, is_followed: bool) -> Duration {
+    let factor = match job.route.kind.is_stream() {
+        true if is_followed => LIVE_STREAM_TIMEOUT_FACTOR,
+        true => STREAM_TIMEOUT_FACTOR,
+        false => PLAIN_TIMEOUT_FACTOR,
     };
-    Duration::from_millis((job.route.target_ms as f64 * part) as u64)
+    Duration::from_millis((job.route.target_ms as f64 * factor) as u64)
 }
--- a/crates/bilberry-gateway/src/gateway.rs
+++ b/crates/bilberry-gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The state of an entry that forwards, and where requests are placed.
+//! The shared state of an entry that forwards requests to upstreams.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -26,8 +26,8 @@
 use crate::GatewayMetrics;
 use crate::Hubs;
 use crate::KnownWeights;
-use crate::LineBudget;
 use crate::Listed;
+use crate::LogLineBudget;
 use crate::Pace;
 use crate::Policy;
 use crate::PromptStore;
@@ -38,50 +38,50 @@
 use crate::known_crashes::KnownCrashes;
 use crate::pool_summary::PoolSummaries;
 
-/// The bounds and identity that an entry is started with.
+/// The startup settings of an entry.
 #[derive(Debug, Clone)]
 pub struct GatewaySettings {
     /// The entry's data centre.
     pub place: Name,
-    /// For how long a key counts after it was last confirmed, if that is bounded.
+    /// How long API keys stay valid after the last confirmation, if bounded.
     pub keys_good_ms: Option<u64>,
-    /// After which time nothing may begin on older weights, if that is bounded.
+    /// How long requests may still start on outdated weights, if bounded.
     pub weights_bound_ms: Option<u64>,
-    /// The limits on repeats.
+    /// The retry budget.
     pub budget: BudgetTerms,
 }
 
 /// An entry that forwards requests to upstreams.
 #[derive(Debug)]
 pub struct Gateway<D, C> {
-    /// The platform's headers.
+    /// The translation of the platform's headers.
     pub dialect: D,
     /// The clock.
     pub clock: C,
-    /// What it was started with.
+    /// The startup settings.
     pub settings: GatewaySettings,
-    /// All upstreams.
+    /// All known upstreams.
     pub upstreams: Upstreams,
-    /// Connections to upstreams.
+    /// The pool of connections to upstreams.
     pub connections: Connections<C>,
     /// Counters and histograms.
     pub metrics: GatewayMetrics,
-    /// The stores of kept prompts.
+    /// The prompt stores.
     pub stores: PromptStores,
-    /// The weights that were named.
+    /// The announced versions of each model's weights.
     pub weights: KnownWeights,
-    /// The sidecars that could watch the store for this entry.
+    /// The sidecars that can relay the platform store's changes to this entry.
     pub hubs: Hubs,
-    /// Which hosts of engines have shown a sidecar.
+    /// Which engine hosts have shown that they run a sidecar.
     pub sidecars: SidecarSigns,
     pub(crate) crashes: KnownCrashes,
     pub(crate) pace: Pace,
     pub(crate) readings: Mutex<Readings>,
-    pub(crate) lines: LineBudget,
+    pub(crate) lines: LogLineBudget,
     pub(crate) pool_summaries: watch::Sender<PoolSummaries>,
     policy: ArcSwapOption<Policy>,
-    policy_fresh: Mutex<Freshness>,
-    store_reached: Mutex<Freshness>,
+    policy_freshness: Mutex<Freshness>,
+    store_freshness: Mutex<Freshness>,
     budgets: Mutex<HashMap<Name, SharedBudget>>,
     pub(crate) outages: Mutex<HashMap<Name, Outage>>,
     pub(crate) entries: Mutex<EntryCount>,
@@ -89,7 +89,7 @@
 }
 
 impl<D: Dialect, C: Clock> Gateway<D, C> {
-    /// Creates an entry that knows nothing yet.
+    /// Creates an entry without configuration or upstreams.
     pub fn new(dialect: D, clock: C, settings: GatewaySettings) -> Self {
         Self {
             dialect,
@@ -105,11 +105,11 @@
             crashes: KnownCrashes::default(),
             pace: Pace::default(),
             readings: Mutex::default(),
-            lines: LineBudget::default(),
+            lines: LogLineBudget::default(),
             pool_summaries: watch::Sender::default(),
             policy: ArcSwapOption::empty(),
-            policy_fresh: Mutex::default(),
-            store_reached: Mutex::default(),
+            policy_freshness: Mutex::default(),
+            store_freshness: Mutex::default(),
             budgets: Mutex::default(),
             outages: Mutex::default(),
             entries: Mutex::default(),
@@ -117,12 +117,12 @@
         }
     }
 
-    /// Returns the configuration in force.
+    /// Returns the active configuration.
     pub fn policy(&self) -> Option<Arc<Policy>> {
         self.policy.load_full()
     }
 
-    /// Puts a configuration in force, unless a newer one is.
+    /// Activates a configuration, unless the active one is as new or newer.
     pub fn install(&self, policy: Policy) {
         let newer = |known: &Arc<Policy>| known.version >= policy.version;
         if self.policy.load().as_ref().is_some_and(newer) {
@@ -141,46 +141,46 @@
         self.policy.store(Some(Arc::new(policy)));
     }
 
-    /// Changes how fresh the configuration is known to be.
+    /// Updates the record of when the configuration was last confirmed.
     pub fn confirm(&self, change: impl FnOnce(&mut Freshness)) {
-        change(&mut self.policy_fresh.lock().unwrap());
+        change(&mut self.policy_freshness.lock().unwrap());
     }
 
-    /// Returns when an older copy of the configuration may confirm keys again, while it
-    /// confirms none.
+    /// Returns when the configuration may confirm keys again after the store was restored
+    /// from an older copy; `None` if it confirms them.
     pub fn policy_doubted_until(&self) -> Option<UnixMs> {
-        self.policy_fresh.lock().unwrap().doubted_until()
+        self.policy_freshness.lock().unwrap().doubted_until()
     }
 
-    /// Reports whether the configuration was confirmed within a time.
+    /// Reports whether the configuration was confirmed within the last `within_ms`.
     pub fn policy_is_fresh(&self, within_ms: u64) -> bool {
-        self.policy_fresh.lock().unwrap().holds(self.clock.now(), within_ms)
+        self.policy_freshness.lock().unwrap().holds(self.clock.now(), within_ms)
     }
 
-    /// Notes that the platform's store answered a question of this entry's own.
+    /// Records that the platform store answered a request that this entry sent directly.
     pub fn note_store_reached(&self, asked_at: UnixMs) {
-        self.store_reached.lock().unwrap().confirm_read(asked_at);
+        self.store_freshness.lock().unwrap().confirm_read(asked_at);
     }
 
-    /// Reports whether the store answered this entry itself within a time.
+    /// Reports whether the store answered this entry directly within the last `within_ms`.
     pub fn has_reached_store(&self, within_ms: u64) -> bool {
-        self.store_reached.lock().unwrap().holds(self.clock.now(), within_ms)
+        self.store_freshness.lock().unwrap().holds(self.clock.now(), within_ms)
     }
 
-    /// Reports whether a key may still be relied on.
+    /// Reports whether API keys were confirmed recently enough to be accepted.
     ///
-    /// A key that was revoked while this entry can't hear of it must not open
-    /// the door once the bound has passed; from then on callers are refused.
+    /// A key may have been revoked while this entry can't reach the store. Once the bound
+    /// has passed, the entry refuses all callers that need a key.
     pub fn keys_are_good(&self) -> bool {
         self.settings.keys_good_ms.is_none_or(|good_ms| self.policy_is_fresh(good_ms))
     }
 
-    /// Reports whether new callers should come here.
+    /// Reports whether this entry should receive new callers.
     pub fn is_ready(&self) -> bool {
         let fresh = match self.settings.keys_good_ms {
-            // Left in good time, so that callers move before they are refused. What a
-            // hub confirms keeps keys good for those who are here already; new ones are
-            // better off at an entry that doesn't depend on one.
+            // Half the bound, so that callers move before they are refused. Confirmations
+            // through a hub keep the keys of existing callers valid; new callers are
+            // better served by an entry that doesn't depend on a hub.
             Some(good_ms) => {
                 let within_ms = good_ms / 2;
                 self.is_fresh_enough(within_ms) && self.has_reached_store(within_ms)
@@ -193,17 +193,18 @@
 
     /// Reports whether the configuration is fresh enough for new callers.
     ///
-    /// After the store's return from an older copy all entries are in the same doubt:
-    /// callers who were sent away had nowhere to go while their keys are good everywhere.
+    /// After the store was restored from an older copy, no entry can confirm the
+    /// configuration. Were all of them unready, callers would have no entry left although
+    /// their keys are still valid at each.
     fn is_fresh_enough(&self, within_ms: u64) -> bool {
-        let has_doubt = self.policy_fresh.lock().unwrap().has_doubt();
+        let has_doubt = self.policy_freshness.lock().unwrap().has_doubt();
         match has_doubt {
             true => self.keys_are_good(),
             false => self.policy_is_fresh(within_ms),
         }
     }
 
-    /// Takes no new callers from now on.
+    /// Begins a planned stop, so that the entry becomes unready for new callers.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
@@ -213,20 +214,20 @@
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Counts a request towards its service's budget of repeats.
+    /// Counts a request towards its service's retry budget.
     pub(crate) fn count_request(&self, pool: &Name) {
         let now = self.clock.now();
         self.with_budget(pool, |budget| budget.count_request(now));
     }
 
-    /// Asks for one repeat.
+    /// Takes one retry from the service's budget; returns false if none is left.
     pub(crate) fn may_repeat(&self, pool: &Name, repeat: Repeat) -> bool {
         let now = self.clock.now();
         let entries = self.entries.lock().unwrap().get();
         self.with_budget(pool, |budget| budget.spend(now, entries, repeat))
     }
 
-    /// Asks for a transfer between a store of kept prompts and an upstream.
+    /// Takes a transfer between a prompt store and an upstream from the link's budget.
     pub(crate) fn may_use_link(
         &self,
         store: &PromptStore,
@@ -234,12 +235,13 @@
         upstream: &Upstream,
     ) -> bool {
         let now = self.clock.now();
-        // Not kept while nobody tells, unlike for repeats: the same sidecars tell what
-        // the store holds, and fetches on a guess would crowd its link.
+        // Unlike for retries, the last known count is not used while no sidecar reports
+        // one: the same sidecars report what the store holds, and speculative fetches
+        // would overload its link.
         store.may_move(now, tokens, &upstream.place, self.entries_seen(now))
     }
 
-    /// Returns how many entries there are, if any sidecar tells.
+    /// Returns the number of entries, if any sidecar reports it.
     fn entries_seen(&self, now: UnixMs) -> Option<usize> {
         let seen = |upstream: &Arc<Upstream>| upstream.entries_seen(now);
         self.upstreams.all().iter().filter_map(seen).max()
@@ -251,28 +253,31 @@
         act(budgets.entry(pool.clone()).or_insert_with(fresh))
     }
 
-    /// Returns the least and the most time after which a caller may come back, if
-    /// nothing of the service lives.
-    pub(crate) fn outage_over_ms(&self, pool: &Name, left_ms: u64) -> Option<(u64, u64)> {
+    /// Returns the range of retry delays for callers if no upstream of the service is alive.
+    pub(crate) fn outage_retry_range_ms(
+        &self,
+        pool: &Name,
+        left_ms: u64,
+    ) -> Option<(u64, u64)> {
         let outages = self.outages.lock().unwrap();
         outages.get(pool)?.come_back_ms(self.clock.now(), left_ms)
     }
 
-    /// Takes over one line of the list of upstreams.
+    /// Applies one record of the list of upstreams.
     pub fn list(&self, listed: &Listed) {
         let ended = self.upstreams.put(listed);
-        ended.iter().for_each(|ended| self.note_end(ended));
+        ended.iter().for_each(|ended| self.on_incarnation_end(ended));
     }
 
-    /// Takes over what the sidecar of an upstream says.
+    /// Applies a state update from the sidecar of an upstream.
     pub fn hear(&self, id: &Name, state: UpstreamState) {
         let now = self.clock.now();
         self.entries.lock().unwrap().hear(now, state.entries as usize);
         let ended = self.upstreams.feed(id, state, now);
-        ended.iter().for_each(|ended| self.note_end(ended));
+        ended.iter().for_each(|ended| self.on_incarnation_end(ended));
     }
 
-    /// Takes over a change of an upstream's cache, if it is the present one's.
+    /// Applies a change of an upstream's cache, if it is from the current incarnation.
     pub fn note_cache(&self, id: &Name, change: &CacheChange) {
         let now = self.clock.now();
         if self.upstreams.cache_change(id, change, now) {
@@ -284,11 +289,11 @@
         }
     }
 
-    /// Forgets what was known of an incarnation that is over.
-    fn note_end(&self, ended: &Upstream) {
-        // What it was to give to the store of kept prompts may never have left it.
+    /// Discards the state of an incarnation that has ended.
+    fn on_incarnation_end(&self, ended: &Upstream) {
+        // Parts that it was to save to the prompt store may never have been sent.
         self.stores.forget_giver(&ended.id);
-        self.connections.drop_idle(ended.address);
+        self.connections.close_idle_to(ended.address);
         log::info!(target: "upstream", upstream = ended.id.as_str(); "started again");
     }
 }
--- a/crates/bilberry-gateway/src/job.rs
+++ b/crates/bilberry-gateway/src/job.rs
@@ -1,4 +1,4 @@
-//! One request on its way through the entry.
+//! The state of a request while the entry handles it.
 
 use std::sync::Arc;
 
@@ -19,21 +19,21 @@
 use crate::Route;
 use crate::Upstream;
 
-/// What separates the cached prompts of customers that share theirs.
-const SHARED_WALL: &str = "shared";
+/// The salt scope of customers whose cached prompts may be shared.
+const SHARED_SALT_SCOPE: &str = "shared";
 
-/// One request on its way through the entry.
+/// The state of a request while the entry handles it.
 #[derive(Debug)]
 pub struct Job {
-    /// What the caller's headers say.
+    /// The decoded headers of the caller.
     pub call: Call,
-    /// The route.
+    /// The matching route.
     pub route: Arc<Route>,
-    /// The customer, where requests need a key.
+    /// The customer, if the route requires an API key.
     pub customer: Option<Arc<Customer>>,
-    /// The service that the route's split chose.
+    /// The service chosen by the route's traffic split.
     pub pool: Arc<Pool>,
-    /// The version of the configuration that decided.
+    /// The version of the configuration that was used for routing.
     pub config_version: u64,
     /// The method.
     pub method: Method,
@@ -43,66 +43,66 @@
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// What each attempt of the request has in common, once the body is read.
+    /// The key shared by all attempts of the request; set once the body is read.
     pub key: RequestKey,
     /// When the request's head was read.
     pub arrived_at: UnixMs,
-    /// When the caller's patience, or the route's, ends.
+    /// The earlier of the caller's and the route's deadline.
     pub deadline: UnixMs,
-    /// The upstreams that it was offered to; each is one incarnation.
+    /// The upstream incarnations that were tried.
     pub tried: Vec<Arc<Upstream>>,
-    /// How often it was sent.
+    /// The number of sends.
     pub sends: u32,
-    /// When it was last sent.
+    /// The time of the last send.
     pub sent_at: UnixMs,
-    /// The upstream that it was last sent to and may run at.
+    /// The upstream of the last send, unless the request is known not to have run there.
     pub sent_to: Option<Arc<Upstream>>,
-    /// How many crashes in that upstream's incarnation were known when it was sent.
+    /// The number of crashes known in that upstream's incarnation at the last send.
     pub earlier_crashes: u64,
-    /// How many of these sends may have run.
+    /// The number of sends that may have run.
     pub runs: u32,
-    /// The upstream that keeps a copy of its memory.
+    /// The upstream that keeps a backup of the request's KV cache.
     pub backup: Option<Arc<Upstream>>,
-    /// The weights that it was sent to.
+    /// The version of the weights of the chosen upstream.
     pub weights: Option<u64>,
-    /// For how long these had lacked newer ones when it was placed.
-    pub lacking_ms: Option<u64>,
-    /// The keys of its shared parts, by the weights that read them.
+    /// How long these weights had been outdated when the request was placed.
+    pub weights_outdated_ms: Option<u64>,
+    /// The keys of the shared prompt parts, by the version of the weights.
     pub prompt_keys: Vec<(u64, Arc<PromptKeys>)>,
-    /// The shared parts that it has read where it was sent, once that was told.
+    /// The shared parts that the upstream computes for it, once announced to other entries.
     pub reads: Option<Reads>,
-    /// Until when it waits for shared parts that others read, once it has begun to.
+    /// Until when it waits for shared parts that other requests compute, once it has begun to.
     pub waits_for_parts_until: Option<UnixMs>,
-    /// How long it waited for room, and for parts that others read.
+    /// How long it waited for capacity and for parts that other requests compute.
     pub waited_ms: u64,
-    /// How long of this it waited for parts that others read.
+    /// The share of this time spent waiting for parts that other requests compute.
     pub waited_for_parts_ms: u64,
-    /// The shared tokens that its upstream had or could fetch when it was last sent.
+    /// The shared tokens that the upstream of the last send held or could fetch.
     pub supplied_tokens: u64,
-    /// When the first byte of its answer came, after its arrival.
+    /// The time from the arrival of the request to the first byte of the response.
     pub first_byte_ms: Option<u64>,
     /// Why the last send failed.
     pub detail: String,
 }
 
-/// Shared parts that a request has an upstream read.
+/// The shared prompt parts that an upstream computes for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reads {
-    /// Their keys.
+    /// The keys of the parts.
     pub parts: Vec<u64>,
-    /// All tokens that the upstream has to read before the answer begins.
+    /// The number of tokens that the upstream has to prefill before the response starts.
     pub tokens: u64,
     /// When the request was sent.
     pub since: UnixMs,
 }
 
 impl Job {
-    /// Reports whether it was offered to this incarnation of an upstream.
+    /// Reports whether this incarnation of an upstream was already tried.
     pub fn has_tried(&self, upstream: &Arc<Upstream>) -> bool {
         self.tried.iter().any(|tried| Arc::ptr_eq(tried, upstream))
     }
 
-    /// Adds why going on failed to why the last send did.
+    /// Appends a reason to the failure of the last send.
     pub fn add_detail(&mut self, detail: &str) {
         if !self.detail.is_empty() {
             self.detail.push_str("; ");
@@ -110,17 +110,17 @@
         self.detail.push_str(detail);
     }
 
-    /// Reports whether its answer began within the route's target.
-    pub fn is_in_time(&self) -> bool {
+    /// Reports whether the first byte came within the route's target latency.
+    pub fn met_target(&self) -> bool {
         self.first_byte_ms.is_some_and(|ms| ms <= self.route.target_ms)
     }
 
-    /// Reports whether another run is allowed after this many.
+    /// Reports whether another run is allowed after `runs` runs.
     pub fn may_run_after(&self, runs: u32) -> bool {
         self.route.kind.is_repeatable() && runs < self.route.max_attempts
     }
 
-    /// Returns the key of its customer, method, host, path, query and body.
+    /// Computes the key from the customer, method, host, path, query and body.
     pub fn compute_key(&self) -> RequestKey {
         let customer = self.customer.as_ref().map_or("", |customer| &customer.name);
         let host = self.headers.get(HOST).map_or(&[][..], |host| host.as_bytes());
@@ -134,14 +134,15 @@
         ])
     }
 
-    /// Returns what requests with the same shared prompt have in common.
+    /// Returns the affinity key, which is equal for requests with the same shared prompt.
     pub fn affinity(&self) -> u64 {
         let part = self.call.shared_parts().last().map(|part| part.id);
-        // Without a shared prompt any upstream will do; the attempt spreads them.
+        // Without a shared prompt any upstream is equally suitable, so the hash of the
+        // attempt spreads the requests.
         part.unwrap_or_else(|| xxh3_64(self.call.attempt.as_bytes()))
     }
 
-    /// Returns what the request asks of an upstream.
+    /// Returns the resources that the request needs at an upstream.
     pub fn demand(&self, can_fetch: bool, token_us: u64) -> Demand {
         let shared_tokens = self.call.shared_tokens();
         Demand {
@@ -155,19 +156,19 @@
         }
     }
 
-    /// Returns what its cached prompt is kept apart by.
+    /// Returns the cache salt of the request's prompt.
     ///
-    /// The version is part of it, as a store keeps what older weights made. The
-    /// wall keeps a customer that shares nothing apart from all others.
+    /// It includes the version of the weights, as a prompt store also keeps what older
+    /// weights computed. An isolated customer's name separates its prompts from all others.
     pub fn salt(&self, weights: u64) -> String {
         let model = self.call.model.as_deref().unwrap_or_default();
         match self.customer.as_ref().filter(|customer| customer.isolated) {
             Some(customer) => format!("only-{}/{model}/{weights}", customer.name),
-            None => format!("{SHARED_WALL}/{model}/{weights}"),
+            None => format!("{SHARED_SALT_SCOPE}/{model}/{weights}"),
         }
     }
 
-    /// Returns the keys of its shared parts, computed once for each salt.
+    /// Returns the keys of the shared prompt parts, computed once per version of the weights.
     pub fn keys(&mut self, weights: u64) -> Arc<PromptKeys> {
         if let Some((_, keys)) = self.prompt_keys.iter().find(|(at, _)| *at == weights) {
             return keys.clone();
@@ -178,7 +179,7 @@
         keys
     }
 
-    /// Returns the urgency that upstreams are told, 0 first.
+    /// Returns the scheduling priority that is sent to upstreams, 0 being the first.
     pub fn urgency(&self) -> u8 {
         let own = self.customer.as_ref().and_then(|customer| customer.priority);
         own.unwrap_or(self.route.priority).min(9)
--- a/crates/bilberry-gateway/src/lib.rs
+++ b/crates/bilberry-gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! An entry that forwards HTTP requests as they are.
+//! A reverse proxy that routes HTTP requests to upstreams.
 //!
-//! Callers' requests pass through unchanged; what is decided is where they go,
-//! when they wait, what is repeated and what is refused. The headers that a
-//! platform uses for this come in through the port [`Dialect`].
+//! Method, path and body pass through unchanged. The gateway decides which upstream gets a
+//! request, whether the request waits for capacity, and whether it is retried or refused.
+//! An implementation of [`Dialect`] translates the headers of the platform.
 
 mod backup;
 mod call;
@@ -74,7 +74,7 @@
 pub use prompt_keys::PromptKeys;
 pub use prompt_stores::PromptStore;
 pub use prompt_stores::PromptStores;
-pub use record::LineBudget;
+pub use record::LogLineBudget;
 pub use refusal::Refusal;
 pub use store_watch::follow_prompt_stores;
 pub use unattended::SidecarSigns;
--- a/crates/bilberry-gateway/src/plain_answer.rs
+++ b/crates/bilberry-gateway/src/plain_answer.rs
@@ -1,4 +1,4 @@
-//! Passing a plain answer on to the caller, whole where it is short.
+//! Relays plain responses to the caller, buffering short ones in full.
 
 use std::sync::Arc;
 
@@ -17,103 +17,103 @@
 use crate::Gateway;
 use crate::Job;
 use crate::Refusal;
-use crate::forward::Answer;
-use crate::passing::Ended;
-use crate::passing::PIECES_AHEAD;
+use crate::forward::UpstreamResponse;
+use crate::passing::BODY_CHANNEL_CAPACITY;
+use crate::passing::BodyEnd;
 
-/// The largest plain answer that is read whole before it is passed on.
+/// The largest plain response that is buffered in full before it is relayed.
 ///
-/// Read whole, an answer that breaks off can still be had from another upstream.
-const WHOLE_ANSWER_BYTES: usize = 256 * 1024;
+/// If a buffered response is cut off, the request can still be retried on another upstream.
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// A plain answer, or as much of it as is held back.
-pub(crate) enum PlainAnswer {
-    Whole(Response<OutBody>),
-    Long(Answer, Bytes),
+/// A plain response, complete or with the part that was buffered.
+pub(crate) enum PlainResponse {
+    Complete(Response<OutBody>),
+    Partial(UpstreamResponse, Bytes),
 }
 
 impl<D: Dialect, C: Clock> Gateway<D, C> {
-    /// Reads a plain answer whole, unless it is long; an error if it breaks off.
-    pub(crate) async fn read_whole(
+    /// Buffers a plain response, in full unless it is too large; fails if it is cut off.
+    pub(crate) async fn buffer_response(
         self: &Arc<Self>,
         job: &mut Job,
-        mut answer: Answer,
-    ) -> Result<PlainAnswer, Refusal> {
-        self.note_prompt_read(job, &mut answer.seat);
+        mut response: UpstreamResponse,
+    ) -> Result<PlainResponse, Refusal> {
+        self.record_prompt_read(job, &mut response.seat);
         let left = job.deadline.left(self.clock.now());
         let mut read = BytesMut::new();
-        let reading = read_up_to(&mut answer, &mut read);
-        let is_whole = match timeout(left, reading).await {
-            Ok(Ok(is_whole)) => is_whole,
+        let reading = buffer_body(&mut response, &mut read);
+        let is_complete = match timeout(left, reading).await {
+            Ok(Ok(is_complete)) => is_complete,
             Ok(Err(error)) => {
-                self.record_interrupted_run(job, &answer.seat.upstream);
-                job.detail = format!("the answer broke off: {error}");
-                return Err(Refusal::Unanswered);
+                self.record_interrupted_run(job, &response.seat.upstream);
+                job.detail = format!("the response was cut off: {error}");
+                return Err(Refusal::OutcomeUnknown);
             }
-            Err(_) => return Err(Refusal::Expired),
+            Err(_) => return Err(Refusal::DeadlinePassed),
         };
         self.note_first_byte(job);
-        let begun = read.freeze();
-        if !is_whole {
-            return Ok(PlainAnswer::Long(answer, begun));
+        let buffered = read.freeze();
+        if !is_complete {
+            return Ok(PlainResponse::Partial(response, buffered));
         }
-        let body = OutBody::whole(begun);
-        let head = answer.response.headers();
-        let whole = self.caller_answer(answer.response.status(), head, body);
-        self.keep_connection(answer);
-        Ok(PlainAnswer::Whole(whole))
+        let body = OutBody::whole(buffered);
+        let head = response.http.headers();
+        let whole = self.caller_response(response.http.status(), head, body);
+        self.keep_connection(response);
+        Ok(PlainResponse::Complete(whole))
     }
 
-    /// Passes a long plain answer on, of which `begun` has been read.
+    /// Streams a large plain response, of which `buffered` has been read, to the caller.
     ///
-    /// It is not held back until it is whole, so one that breaks off is cut.
-    pub(crate) fn pass_on(
+    /// As it is not buffered in full, the caller's response is cut off if this one is.
+    pub(crate) fn stream_partial(
         self: Arc<Self>,
         job: Job,
-        mut answer: Answer,
-        begun: Bytes,
+        mut response: UpstreamResponse,
+        buffered: Bytes,
     ) -> Response<OutBody> {
-        let (pieces, body) = mpsc::channel(PIECES_AHEAD);
-        let head = answer.response.headers();
+        let (pieces, body) = mpsc::channel(BODY_CHANNEL_CAPACITY);
+        let head = response.http.headers();
         let body = OutBody::Stream(body);
-        let started = self.caller_answer(answer.response.status(), head, body);
+        let started = self.caller_response(response.http.status(), head, body);
         tokio::spawn(async move {
-            let ended = self.pass_all(&job, &mut answer, begun, &pieces).await;
-            if ended == Ended::CallerLeft {
+            let ended = self.stream_body(&job, &mut response, buffered, &pieces).await;
+            if ended == BodyEnd::CallerLeft {
                 self.record_abandoned_run(&job);
             }
-            self.conclude(&job, ended.outcome());
-            if ended == Ended::Whole {
-                self.keep_connection(answer);
+            self.record_outcome(&job, ended.outcome());
+            if ended == BodyEnd::Complete {
+                self.keep_connection(response);
                 let _ = pieces.send(BodyPiece::End).await;
             }
         });
         started
     }
 
-    async fn pass_all(
+    async fn stream_body(
         self: &Arc<Self>,
         job: &Job,
-        answer: &mut Answer,
-        begun: Bytes,
+        response: &mut UpstreamResponse,
+        buffered: Bytes,
         pieces: &mpsc::Sender<BodyPiece>,
-    ) -> Ended {
-        let mut next = begun;
+    ) -> BodyEnd {
+        let mut next = buffered;
         loop {
             if pieces.send(BodyPiece::Data(next)).await.is_err() {
-                return Ended::CallerLeft;
+                return BodyEnd::CallerLeft;
             }
             let left = job.deadline.left(self.clock.now());
             let frame = tokio::select! {
-                frame = answer.response.body_mut().frame() => frame,
-                _ = pieces.closed() => return Ended::CallerLeft,
-                _ = sleep(left) => return Ended::Expired,
+                frame = response.http.body_mut().frame() => frame,
+                _ = pieces.closed() => return BodyEnd::CallerLeft,
+                _ = sleep(left) => return BodyEnd::DeadlinePassed,
             };
             next = match frame {
-                None => return Ended::Whole,
+                None => return BodyEnd::Complete,
                 Some(Err(_)) => {
-                    self.record_interrupted_run(job, &answer.seat.upstream);
-                    return Ended::Broken("broke off");
+                    self.record_interrupted_run(job, &response.seat.upstream);
+                    return BodyEnd::Broken("cut off");
                 }
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             };
@@ -121,16 +121,16 @@
     }
 }
 
-/// Reads a body up to the size that is held back; false if there is more.
-async fn read_up_to(
-    answer: &mut Answer,
+/// Reads a body up to the buffer limit; returns false if there is more.
+async fn buffer_body(
+    response: &mut UpstreamResponse,
     read: &mut BytesMut,
 ) -> Result<bool, hyper::Error> {
-    while let Some(frame) = answer.response.body_mut().frame().await {
+    while let Some(frame) = response.http.body_mut().frame().await {
         if let Ok(data) = frame?.into_data() {
             read.extend_from_slice(&data);
         }
-        if read.len() > WHOLE_ANSWER_BYTES {
+        if read.len() > MAX_BUFFERED_BYTES {
             return Ok(false);
         }
     }
--- a/crates/bilberry-gateway/src/record.rs
+++ b/crates/bilberry-gateway/src/record.rs
@@ -1,4 +1,4 @@
-//! The log line of each request.
+//! The log line of each request, and the rate limit on such lines.
 
 use std::sync::Mutex;
 
@@ -7,19 +7,19 @@
 
 use crate::Job;
 
-/// How many lines on plain successes, answered by the first server in time, are written
-/// in a second.
+/// The maximum number of lines per second for plain successes, which the first upstream
+/// served within the target latency.
 ///
-/// An entry serves some thirty requests a second; a burst of callers must not
-/// spend its share of a core on lines that say that all is well.
-const SUCCESSES_PER_S: u64 = 10;
+/// An entry serves some thirty requests per second. In a burst, its share of a CPU core
+/// must not be spent on logging successes.
+const MAX_SUCCESS_LINES_PER_S: u64 = 10;
 
-/// How many lines on anything else are written in a second.
-const OTHERS_PER_S: u64 = 100;
+/// The maximum number of lines per second for all other outcomes.
+const MAX_OTHER_LINES_PER_S: u64 = 100;
 
-/// How many lines may still be written in this second.
+/// A limit on the request log lines per second.
 #[derive(Debug, Default)]
-pub struct LineBudget {
+pub struct LogLineBudget {
     used: Mutex<Used>,
 }
 
@@ -30,25 +30,25 @@
     others: u64,
 }
 
-impl LineBudget {
-    /// Takes one line out; returns false if there is none left.
+impl LogLineBudget {
+    /// Takes one line from the budget; returns false if none is left.
     pub fn spend(&self, now: UnixMs, success: bool) -> bool {
         let mut used = self.used.lock().unwrap();
         let second = now.0 / 1_000;
         if used.second != second {
             *used = Used { second, ..Used::default() };
         }
-        let (count, most) = match success {
-            true => (&mut used.successes, SUCCESSES_PER_S),
-            false => (&mut used.others, OTHERS_PER_S),
+        let (count, max) = match success {
+            true => (&mut used.successes, MAX_SUCCESS_LINES_PER_S),
+            false => (&mut used.others, MAX_OTHER_LINES_PER_S),
         };
         *count += 1;
-        *count <= most
+        *count <= max
     }
 }
 
-/// Writes the line that says what became of a request.
-pub fn write_outcome<C: Clock>(job: &Job, outcome: &str, clock: &C) {
+/// Writes the log line for the outcome of a request.
+pub fn log_outcome<C: Clock>(job: &Job, outcome: &str, clock: &C) {
     let now = clock.now();
     let tried: Vec<&str> = job.tried.iter().map(|tried| tried.id.as_str()).collect();
     log::info!(
@@ -62,7 +62,7 @@
         sends = job.sends,
         detail = job.detail.as_str(),
         weights = job.weights.unwrap_or_default(),
-        lacking_ms = job.lacking_ms.unwrap_or_default(),
+        lacking_ms = job.weights_outdated_ms.unwrap_or_default(),
         waited_ms = job.waited_ms,
         waited_for_parts_ms = job.waited_for_parts_ms,
         shared_tokens = job.call.shared_tokens(),
--- a/crates/bilberry-gateway/src/relay.rs
+++ b/crates/bilberry-gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passing a stream on to the caller, and resuming it where that is allowed.
+//! Relays a stream to the caller and resumes it on another upstream where allowed.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -30,138 +30,144 @@
 use crate::Gateway;
 use crate::Job;
 use crate::Upstream;
-use crate::forward::Answer;
-use crate::passing::Ended;
-use crate::passing::PIECES_AHEAD;
-use crate::stopping::DoubtfulRun;
-use crate::stopping::FirstRun;
-use crate::stopping::STOP_ANSWER;
+use crate::forward::UpstreamResponse;
+use crate::passing::BODY_CHANNEL_CAPACITY;
+use crate::passing::BodyEnd;
+use crate::stopping::FirstRunEnd;
+use crate::stopping::RunTakeover;
+use crate::stopping::STOP_REPLY_TIMEOUT;
 
-/// How many times its longest pause a stream may be silent before it is resumed.
-const SILENT_PAUSES: u64 = 4;
+/// The silence after which a stream is resumed, as a multiple of the route's event gap.
+const SILENCE_GAP_FACTOR: u64 = 4;
 
-/// How long an upstream that is said to be gone may still be silent.
+/// How long a stream may be silent after its upstream is reported lost.
 ///
-/// Ten times the usual time between two events; a stream that is gone on with then
-/// is still within the pause that most routes allow.
-const LOST_SILENCE: Duration = Duration::from_millis(200);
+/// This is ten times the usual gap between two events. A stream that is resumed then is
+/// still within the gap that most routes allow.
+const LOST_GRACE: Duration = Duration::from_millis(200);
 
-/// The word for a stream that fell silent and whose run is over where it began.
-const SILENT: &str = "silent, over there";
+/// The reason for a silent stream whose run has ended at its upstream.
+const SILENT_RUN_ENDED: &str = "silent, run ended at its upstream";
 
-/// The word for a stream that fell silent and whose run may go on where it began.
-const NO_EVENT: &str = "silent";
+/// The reason for a silent stream whose run may continue at its upstream.
+const SILENT: &str = "silent";
 
-/// The silence after which a stream without a stated pause is resumed.
+/// The silence after which a stream is resumed if the route states no event gap.
 const DEFAULT_SILENCE_MS: u64 = 1_000;
 
-/// Returns once the sidecar says that the upstream is gone and nothing has come from
-/// it for a while since.
+/// Waits until the sidecar reports the upstream as lost and [`LOST_GRACE`] has passed.
 ///
-/// An upstream that leaves answers no more questions and still finishes its runs.
-/// Streams that may run once were cut on the sidecar's word alone, and lost.
-async fn lost_and_silent(upstream: &Upstream) {
+/// Each event restarts this wait. An upstream that shuts down answers no health checks but
+/// still finishes its runs. When the sidecar's report alone was enough, at-most-once
+/// streams were cut off and lost.
+async fn wait_until_lost(upstream: &Upstream) {
     upstream.lost().await;
-    sleep(LOST_SILENCE).await;
+    sleep(LOST_GRACE).await;
 }
 
-/// How an upstream's part of a stream came to its end.
-enum Passed {
-    /// The stream is over for its caller.
-    Done(Ended),
-    /// Another upstream may go on with it.
+/// How an upstream's part of a stream ended.
+enum RelayEnd {
+    /// The stream has ended for its caller.
+    Finished(BodyEnd),
+    /// Another upstream may resume the stream.
     ///
-    /// Where it may be run once, `first_run` says how the run ended, if that is known.
-    Broken { reason: &'static str, first_run: Option<FirstRun> },
+    /// For an at-most-once stream, `first_run_end` is how the run ended, if known.
+    Interrupted { reason: &'static str, first_run_end: Option<FirstRunEnd> },
 }
 
-impl Passed {
-    /// The upstream may still work on it.
-    fn unclear(reason: &'static str) -> Self {
-        Self::Broken { reason, first_run: None }
+impl RelayEnd {
+    /// An interruption after which the upstream may still run the request.
+    fn may_still_run(reason: &'static str) -> Self {
+        Self::Interrupted { reason, first_run_end: None }
     }
 }
 
 impl<D: Dialect, C: Clock> Gateway<D, C> {
-    /// Passes a stream on as it comes, and resumes it where that is allowed.
+    /// Relays a stream as it arrives and resumes it where allowed.
     pub(crate) fn relay(
         self: Arc<Self>,
         mut job: Job,
-        answer: Answer,
+        response: UpstreamResponse,
     ) -> Response<OutBody> {
-        let (pieces, body) = mpsc::channel(PIECES_AHEAD);
-        let head = self.caller_answer(
-            answer.response.status(),
-            answer.response.headers(),
+        let (pieces, body) = mpsc::channel(BODY_CHANNEL_CAPACITY);
+        let head = self.caller_response(
+            response.http.status(),
+            response.http.headers(),
             OutBody::Stream(body),
         );
         tokio::spawn(async move {
-            let ended = self.relay_all(&mut job, answer, &pieces).await;
-            if ended == Ended::CallerLeft {
+            let ended = self.relay_stream(&mut job, response, &pieces).await;
+            if ended == BodyEnd::CallerLeft {
                 self.record_abandoned_run(&job);
             }
-            self.conclude(&job, ended.outcome());
-            if ended == Ended::Whole {
-                self.note_pace(&job);
-                // Without this last piece the caller's connection is cut, which
-                // is how it learns that its stream is not whole.
+            self.record_outcome(&job, ended.outcome());
+            if ended == BodyEnd::Complete {
+                self.record_pace(&job);
+                // Without this final piece the caller's connection is closed, which
+                // tells the caller that its stream is incomplete.
                 let _ = pieces.send(BodyPiece::End).await;
             }
         });
         head
     }
 
-    async fn relay_all(
+    async fn relay_stream(
         self: &Arc<Self>,
         job: &mut Job,
-        answer: Answer,
+        response: UpstreamResponse,
         pieces: &mpsc::Sender<BodyPiece>,
-    ) -> Ended {
+    ) -> BodyEnd {
         let mut splitter = EventSplitter::new();
-        let mut answer = answer;
+        let mut response = response;
         loop {
-            let passed = self.relay_one(job, &mut answer, &mut splitter, pieces).await;
-            let (reason, first_run) = match passed {
-                Passed::Broken { reason, first_run } => (reason, first_run),
-                Passed::Done(Ended::Whole) => {
-                    self.keep_connection(answer);
-                    return Ended::Whole;
+            let relay_end =
+                self.relay_from_upstream(job, &mut response, &mut splitter, pieces).await;
+            let (reason, first_run_end) = match relay_end {
+                RelayEnd::Interrupted { reason, first_run_end } => {
+                    (reason, first_run_end)
                 }
-                Passed::Done(ended) => return ended,
+                RelayEnd::Finished(BodyEnd::Complete) => {
+                    self.keep_connection(response);
+                    return BodyEnd::Complete;
+                }
+                RelayEnd::Finished(ended) => return ended,
             };
-            let upstream = answer.seat.upstream.clone();
+            let upstream = response.seat.upstream.clone();
             upstream.record_failure(self.clock.now());
-            if reason != SILENT && reason != NO_EVENT {
+            if reason != SILENT_RUN_ENDED && reason != SILENT {
                 self.record_interrupted_run(job, &upstream);
             }
             job.runs += 1;
             job.detail = reason.to_string();
-            // Closed before another upstream goes on: a run that can be repeated ends
-            // there. It proves nothing, as one that stands still does not look.
-            drop(answer);
+            // Close the connection before another upstream resumes the stream: this ends
+            // a repeatable run. It does not prove that the run ended, as a suspended
+            // upstream does not notice the close.
+            drop(response);
             splitter.drop_partial();
             let resumed = tokio::select! {
-                resumed = self.resume(job, &splitter, &upstream, first_run) => resumed,
-                _ = pieces.closed() => return Ended::CallerLeft,
+                resumed = self.resume(job, &splitter, &upstream, first_run_end) => resumed,
+                _ = pieces.closed() => return BodyEnd::CallerLeft,
             };
             match resumed {
-                Some(next) => answer = next,
-                None => return Ended::Broken(reason),
+                Some(next) => response = next,
+                None => return BodyEnd::Broken(reason),
             }
         }
     }
 
-    /// Has another upstream continue a stream after its last whole event.
+    /// Resumes a stream on another upstream after the last complete event.
     async fn resume(
         self: &Arc<Self>,
         job: &mut Job,
         splitter: &EventSplitter,
         upstream: &Arc<Upstream>,
-        first_run: Option<FirstRun>,
-    ) -> Option<Answer> {
+        first_run_end: Option<FirstRunEnd>,
+    ) -> Option<UpstreamResponse> {
         if job.route.kind == CallKind::OnceStream {
             let last_event = splitter.last_id();
-            return self.resume_from_backup(job, last_event, upstream, first_run).await;
+            return self
+                .resume_from_backup(job, last_event, upstream, first_run_end)
+                .await;
         }
         if !self.may_run_after(job, job.runs)
             || !self.may_repeat(&job.pool.name, Repeat::GoOn)
@@ -169,85 +175,88 @@
             return None;
         }
         job.call.last_event = splitter.last_id().or(job.call.last_event);
-        let answer = self.forward(job).await.ok()?;
-        if answer.response.status() != StatusCode::OK {
+        let response = self.forward(job).await.ok()?;
+        if response.http.status() != StatusCode::OK {
             return None;
         }
         self.metrics.resumed.inc();
-        Some(answer)
+        Some(response)
     }
 
-    async fn relay_one(
+    async fn relay_from_upstream(
         &self,
         job: &mut Job,
-        answer: &mut Answer,
+        response: &mut UpstreamResponse,
         splitter: &mut EventSplitter,
         pieces: &mpsc::Sender<BodyPiece>,
-    ) -> Passed {
+    ) -> RelayEnd {
         let silence_ms =
-            job.route.gap_ms.map_or(DEFAULT_SILENCE_MS, |g| g * SILENT_PAUSES);
+            job.route.gap_ms.map_or(DEFAULT_SILENCE_MS, |g| g * SILENCE_GAP_FACTOR);
         let silence = Duration::from_millis(silence_ms.max(job.route.target_ms * 2));
-        let upstream = answer.seat.upstream.clone();
-        let is_framed = is_framed(answer.response.headers());
-        let doubtful_run = self.doubtful_run(job, &upstream);
-        let run = doubtful_run.as_ref();
-        let ending = Fuse::terminated();
-        tokio::pin!(ending);
-        let mut begun = false;
+        let upstream = response.seat.upstream.clone();
+        let is_framed = is_framed(response.http.headers());
+        let run_takeover = self.run_takeover(job, &upstream);
+        let run = run_takeover.as_ref();
+        let run_end = Fuse::terminated();
+        tokio::pin!(run_end);
+        let mut has_started = false;
         loop {
             let may_resume = self.may_run_after(job, job.runs + 1);
             let left = job.deadline.left(self.clock.now());
             let frame = tokio::select! {
-                frame = answer.response.body_mut().frame() => frame,
-                _ = pieces.closed() => return Passed::Done(Ended::CallerLeft),
-                _ = sleep(left) => return Passed::Done(Ended::Expired),
-                _ = sleep(silence), if may_resume => return Passed::unclear(NO_EVENT),
-                _ = lost_and_silent(&upstream), if may_resume => {
-                    return Passed::unclear("lost");
+                frame = response.http.body_mut().frame() => frame,
+                _ = pieces.closed() => return RelayEnd::Finished(BodyEnd::CallerLeft),
+                _ = sleep(left) => return RelayEnd::Finished(BodyEnd::DeadlinePassed),
+                _ = sleep(silence), if may_resume => return RelayEnd::may_still_run(SILENT),
+                _ = wait_until_lost(&upstream), if may_resume => {
+                    return RelayEnd::may_still_run("lost");
                 }
-                run = self.is_doubtful(run, silence), if ending.is_terminated() => {
-                    ending.set(self.end_run(run).fuse());
+                run = self.wait_until_unresponsive(run, silence),
+                    if run_end.is_terminated() =>
+                {
+                    run_end.set(self.ensure_run_ended(run).fuse());
                     continue;
                 }
-                first_run = &mut ending, if !ending.is_terminated() => {
-                    let first_run = Some(first_run);
-                    return Passed::Broken { reason: SILENT, first_run };
+                first_run_end = &mut run_end, if !run_end.is_terminated() => {
+                    let reason = SILENT_RUN_ENDED;
+                    let first_run_end = Some(first_run_end);
+                    return RelayEnd::Interrupted { reason, first_run_end };
                 }
             };
-            let was_asked = run.is_some_and(DoubtfulRun::was_asked_to_stop);
+            let was_asked = run.is_some_and(RunTakeover::is_stop_requested);
             let bytes = match frame {
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
                 end => {
-                    let passed = end_of_stream(end, splitter, is_framed || !was_asked);
-                    return wait_for_stop(passed, run, ending).await;
+                    let relay_end = end_of_stream(end, splitter, is_framed || !was_asked);
+                    return wait_for_stop(relay_end, run, run_end).await;
                 }
             };
             if !was_asked {
-                ending.set(Fuse::terminated());
+                run_end.set(Fuse::terminated());
             }
             if job.first_byte_ms.is_none() {
                 self.note_first_byte(job);
             }
-            if !std::mem::replace(&mut begun, true) {
-                self.note_prompt_read(job, &mut answer.seat);
+            if !std::mem::replace(&mut has_started, true) {
+                self.record_prompt_read(job, &mut response.seat);
             }
             let Some(events) = splitter.push(&bytes) else { continue };
             if pieces.send(BodyPiece::Data(events)).await.is_err() {
-                return Passed::Done(Ended::CallerLeft);
+                return RelayEnd::Finished(BodyEnd::CallerLeft);
             }
         }
     }
 
-    /// Returns a run that may not be repeated once its engine is to be asked to stop it.
+    /// Waits until the engine of an at-most-once run should be asked to stop it.
     ///
-    /// Never if it can't be gone on with. An engine that its sidecar sees alive is slow;
-    /// one whose sidecar is silent as well, or calls it down, is doubtful and no more:
-    /// its stream is still listened to.
-    async fn is_doubtful<'r>(
+    /// Never returns if no other engine can take the run over. An engine that its sidecar
+    /// reports as alive is merely slow. One whose sidecar is silent too, or reports it as
+    /// down, is only suspected to have failed, so its stream is still read.
+    async fn wait_until_unresponsive<'r>(
         &self,
-        run: Option<&'r DoubtfulRun>,
+        run: Option<&'r RunTakeover>,
         silence: Duration,
-    ) -> &'r DoubtfulRun {
+    ) -> &'r RunTakeover {
         let Some(run) = run else { return std::future::pending().await };
         let is_followed = || run.upstream.is_followed(self.clock.now());
         loop {
@@ -256,7 +265,7 @@
                     true => continue,
                     false => break,
                 },
-                _ = lost_and_silent(&run.upstream) => break,
+                _ = wait_until_lost(&run.upstream) => break,
             }
         }
         log::warn!(
@@ -264,68 +273,71 @@
             request = run.attempt.as_str(),
             upstream = run.upstream.id.as_str(),
             sidecar_heard = is_followed();
-            "silent, to be stopped"
+            "stream is silent; asking the upstream to stop the run"
         );
         run.upstream.record_failure(self.clock.now());
         run
     }
 
-    /// Keeps the connection of a whole answer for later requests, unless its upstream
-    /// has started again: what is known of the new start must not come from the old.
-    pub(crate) fn keep_connection(&self, answer: Answer) {
-        let Answer { response, connection, seat } = answer;
+    /// Returns the connection of a complete response to the pool, unless its upstream has
+    /// restarted: what is recorded of the new incarnation must not come from the old one.
+    pub(crate) fn keep_connection(&self, response: UpstreamResponse) {
+        let UpstreamResponse { http, connection, seat } = response;
         if !seat.upstream.has_ended() {
-            self.connections.keep(connection, response.headers());
+            self.connections.put_idle(connection, http.headers());
         }
     }
 
-    fn note_pace(&self, job: &Job) {
+    fn record_pace(&self, job: &Job) {
         let Some(first_byte_ms) = job.first_byte_ms else { return };
         let took_ms = self.clock.now().ms_since(job.arrived_at) - first_byte_ms;
         self.pace.note_answer(&job.pool.name, took_ms, job.call.output_tokens);
     }
 }
 
-/// Reports whether the end of a body shows by itself, so that it is not taken for one
-/// whose connection was closed.
+/// Reports whether the headers delimit the body, so that its end can be told from a closed
+/// connection.
 fn is_framed(headers: &HeaderMap) -> bool {
     headers.contains_key(TRANSFER_ENCODING) || headers.contains_key(CONTENT_LENGTH)
 }
 
-/// Returns how an upstream's part of a stream ended; `is_sure` if a body that ends
-/// between two events is whole.
+/// Returns how an upstream's part of a stream ended.
+///
+/// With `is_clean_end_complete`, a body that ends between two events is taken as complete.
 fn end_of_stream(
     end: Option<Result<Frame<Bytes>, hyper::Error>>,
     splitter: &EventSplitter,
-    is_sure: bool,
-) -> Passed {
+    is_clean_end_complete: bool,
+) -> RelayEnd {
     match end {
-        None if !splitter.is_at_boundary() => Passed::unclear("ended within an event"),
-        None if is_sure => Passed::Done(Ended::Whole),
-        None => Passed::unclear("ended as it was to be stopped"),
-        Some(_) => Passed::unclear("broke off"),
+        None if !splitter.is_at_boundary() => {
+            RelayEnd::may_still_run("ended within an event")
+        }
+        None if is_clean_end_complete => RelayEnd::Finished(BodyEnd::Complete),
+        None => RelayEnd::may_still_run("ended after the stop request"),
+        Some(_) => RelayEnd::may_still_run("cut off"),
     }
 }
 
-/// Waits for what becomes of a run that is being stopped and whose stream broke off.
+/// Waits for the outcome of a stop request if the stream was cut off meanwhile.
 ///
-/// A run that stops closes its stream first; its memory is moved after that.
+/// An engine that stops a run closes the stream first and then transfers the KV cache.
 async fn wait_for_stop(
-    passed: Passed,
-    run: Option<&DoubtfulRun>,
-    ending: Pin<&mut Fuse<impl Future<Output = FirstRun>>>,
-) -> Passed {
-    match passed {
-        Passed::Broken { reason, .. } if !ending.is_terminated() => {
-            run.inspect(|run| run.note_stream_closed());
-            let first_run = timeout(STOP_ANSWER, ending).await.ok();
-            Passed::Broken { reason, first_run }
+    relay_end: RelayEnd,
+    run: Option<&RunTakeover>,
+    run_end: Pin<&mut Fuse<impl Future<Output = FirstRunEnd>>>,
+) -> RelayEnd {
+    match relay_end {
+        RelayEnd::Interrupted { reason, .. } if !run_end.is_terminated() => {
+            run.inspect(|run| run.mark_stream_closed());
+            let first_run_end = timeout(STOP_REPLY_TIMEOUT, run_end).await.ok();
+            RelayEnd::Interrupted { reason, first_run_end }
         }
-        passed => passed,
+        relay_end => relay_end,
     }
 }
 
-/// Reports whether an answer is an event stream.
+/// Reports whether a response is an event stream.
 pub(crate) fn is_stream(job: &Job, response: &Response<Incoming>) -> bool {
     job.route.kind.is_stream() && response.status().is_success()
 }
--- a/crates/bilberry-gateway/src/serve.rs
+++ b/crates/bilberry-gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to its answer.
+//! Handles a caller's request from arrival to response.
 
 use std::sync::Arc;
 
@@ -28,25 +28,25 @@
 use crate::Job;
 use crate::Policy;
 use crate::Refusal;
-use crate::forward::Answer;
-use crate::plain_answer::PlainAnswer;
+use crate::forward::UpstreamResponse;
+use crate::plain_answer::PlainResponse;
 use crate::relay::is_stream;
 
-/// How long a body may take to arrive.
-const BODY_MS: u64 = 10_000;
+/// The timeout for receiving a request body.
+const BODY_TIMEOUT_MS: u64 = 10_000;
 
-/// The part of a caller's patience after which a refused one may come back.
+/// The divisor of a caller's remaining time that gives the longest `Retry-After`.
 ///
-/// Callers follow the advice only up to a third of the time that they have left.
-const COME_BACK_PART: u64 = 4;
+/// Callers honour the header only up to a third of the time that they have left.
+const RETRY_AFTER_DIVISOR: u64 = 4;
 
-/// The part of a pause over which callers come back after its end.
-const PAUSE_SPREAD_PART: u64 = 4;
+/// The divisor of a pause that gives the range over which retries after it are spread.
+const PAUSE_SPREAD_DIVISOR: u64 = 4;
 
-/// The earliest and the latest time after which a refused caller comes back.
+/// The shortest and the longest `Retry-After` of a refused request, in milliseconds.
 ///
-/// Room appears as running answers end, some hundred milliseconds apart.
-const COME_BACK_MS: (u64, u64) = (100, 1_000);
+/// Capacity becomes free as running requests finish, some hundred milliseconds apart.
+const RETRY_AFTER_RANGE_MS: (u64, u64) = (100, 1_000);
 
 impl<D: Dialect, C: Clock> HttpHandler for Gateway<D, C> {
     fn client_times(&self) -> Option<ClientTimes> {
@@ -55,11 +55,11 @@
 
     async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
         let gateway = self.clone();
-        let mut answer = gateway.serve(request).await;
+        let mut response = gateway.serve(request).await;
         if self.is_stopping() {
-            answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        answer
+        response
     }
 }
 
@@ -67,12 +67,12 @@
     async fn serve(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
         let arrived_at = self.clock.now();
         let (head, body) = request.into_parts();
-        let checked = self.check(head, arrived_at);
+        let checked = self.decode_and_route(head, arrived_at);
         let (policy, mut job) = match checked {
             Ok(checked) => checked,
             Err((attempt, refusal)) => return self.refuse_early(&attempt, &refusal),
         };
-        job.body = match self.body(body, &policy, &job).await {
+        job.body = match self.read_request_body(body, &policy, &job).await {
             Ok(body) => body,
             Err(refusal) => return self.refuse_early(&job.call.attempt, &refusal),
         };
@@ -85,41 +85,43 @@
         let outcome = caller.serve().await;
         let job = caller.job.take();
         match (outcome, job) {
-            (Served::Whole(answer), Some(job)) => {
-                self.conclude(&job, "served");
-                answer
+            (ServeOutcome::Complete(response), Some(job)) => {
+                self.record_outcome(&job, "served");
+                response
             }
-            (Served::Stream(answer), Some(job)) => self.relay(job, answer),
-            (Served::Long(answer, begun), Some(job)) => self.pass_on(job, answer, begun),
-            (Served::Refused(refusal), Some(job)) => self.refuse(&job, &refusal),
-            (_, None) => Refusal::NotReady.answer(COME_BACK_MS.0),
+            (ServeOutcome::Stream(response), Some(job)) => self.relay(job, response),
+            (ServeOutcome::Partial(response, buffered), Some(job)) => {
+                self.stream_partial(job, response, buffered)
+            }
+            (ServeOutcome::Refused(refusal), Some(job)) => self.refuse(&job, &refusal),
+            (_, None) => Refusal::NotReady.to_response(RETRY_AFTER_RANGE_MS.0),
         }
     }
 
-    /// Finds out what the request is and whether it is allowed.
-    fn check(
+    /// Decodes and routes the request, and checks that it is allowed.
+    fn decode_and_route(
         &self,
         head: Parts,
         arrived_at: UnixMs,
     ) -> Result<(Arc<Policy>, Job), (Name, Refusal)> {
         let call = match self.dialect.decode(&head.headers) {
             Ok(call) => call,
-            Err(bad) => return Err((Name::new(), Refusal::Bad(bad))),
+            Err(bad) => return Err((Name::new(), Refusal::BadRequest(bad))),
         };
         let attempt = call.attempt.clone();
-        self.allow(head, call, arrived_at).map_err(|refusal| (attempt, refusal))
+        self.create_job(head, call, arrived_at).map_err(|refusal| (attempt, refusal))
     }
 
-    fn allow(
+    fn create_job(
         &self,
         head: Parts,
         call: Call,
         arrived_at: UnixMs,
     ) -> Result<(Arc<Policy>, Job), Refusal> {
         let policy = self.policy().ok_or(Refusal::NotReady)?;
-        let most = policy.limits.header_bytes;
-        if head_bytes(&head) > most {
-            return Err(Refusal::LargeHead(most));
+        let max_bytes = policy.limits.header_bytes;
+        if head_bytes(&head) > max_bytes {
+            return Err(Refusal::HeadTooLarge(max_bytes));
         }
         let host = head.headers.get(HOST).and_then(|host| host.to_str().ok());
         let route = policy.route(host.unwrap_or_default(), head.uri.path());
@@ -127,7 +129,7 @@
         let customer = match &policy.customers {
             Some(customers) if !route.public => {
                 if !self.keys_are_good() {
-                    return Err(Refusal::KeysUnsure);
+                    return Err(Refusal::KeysUnconfirmed);
                 }
                 let key = call.key.as_ref().ok_or(Refusal::UnknownKey)?;
                 Some(customers.get(key).cloned().ok_or(Refusal::UnknownKey)?)
@@ -136,7 +138,7 @@
         };
         let target = route.target(xxh3_64(call.attempt.as_bytes()));
         let pool = target.and_then(|pool| policy.pools.get(pool)).cloned();
-        let pool = pool.ok_or(Refusal::NoRoom)?;
+        let pool = pool.ok_or(Refusal::NoCapacity)?;
         let patience_ms = call.patience_ms.unwrap_or(route.timeout_ms);
         let deadline = arrived_at.plus_ms(patience_ms.min(route.timeout_ms));
         let job = Job {
@@ -160,7 +162,7 @@
             runs: 0,
             backup: None,
             weights: None,
-            lacking_ms: None,
+            weights_outdated_ms: None,
             prompt_keys: Vec::new(),
             reads: None,
             waits_for_parts_until: None,
@@ -173,18 +175,20 @@
         Ok((policy, job))
     }
 
-    async fn body(
+    async fn read_request_body(
         &self,
         body: Incoming,
         policy: &Policy,
         job: &Job,
     ) -> Result<Bytes, Refusal> {
-        let most = policy.limits.body_bytes;
+        let max_bytes = policy.limits.body_bytes;
         let left_ms = job.deadline.ms_since(self.clock.now());
-        read_body(body, most, left_ms.min(BODY_MS)).await.map_err(|error| match error {
-            ReadBodyError::TooLarge(most) => Refusal::LargeBody(most),
-            ReadBodyError::Late(_) => Refusal::TooLate,
-            ReadBodyError::Broken => Refusal::BrokenBody,
+        read_body(body, max_bytes, left_ms.min(BODY_TIMEOUT_MS)).await.map_err(|error| {
+            match error {
+                ReadBodyError::TooLarge(max_bytes) => Refusal::BodyTooLarge(max_bytes),
+                ReadBodyError::Late(_) => Refusal::DeadlineBeforeSend,
+                ReadBodyError::Broken => Refusal::BodyIncomplete,
+            }
         })
     }
 
@@ -200,47 +204,48 @@
         } else {
             self.metrics.dropped_lines.inc();
         }
-        refusal.answer(come_back_ms(COME_BACK_MS.1))
+        refusal.to_response(retry_after_ms(RETRY_AFTER_RANGE_MS.1))
     }
 
     fn refuse(&self, job: &Job, refusal: &Refusal) -> Response<OutBody> {
-        self.conclude(job, refusal.code());
+        self.record_outcome(job, refusal.code());
         let now = self.clock.now();
         let left_ms = job.deadline.ms_since(now);
         let paused_until = self.all_paused_until(&job.pool.name, now);
-        let outage_over_ms = self.outage_over_ms(&job.pool.name, left_ms);
+        let outage_range_ms = self.outage_retry_range_ms(&job.pool.name, left_ms);
         let pause_ms = paused_until.map(|until| until.ms_since(now));
-        refusal.answer(match (refusal, outage_over_ms.or(pause_ms.map(after_pause_ms))) {
-            (Refusal::NoWeights, _) => come_back_late_ms(left_ms),
+        let range_ms = outage_range_ms.or(pause_ms.map(retry_range_after_pause_ms));
+        refusal.to_response(match (refusal, range_ms) {
+            (Refusal::NoWeights, _) => late_retry_after_ms(left_ms),
             (Refusal::Quarantined { for_ms }, _) => *for_ms,
-            (Refusal::NoRoom, Some((least, most))) => rand::random_range(least..=most),
-            _ => come_back_ms(left_ms),
+            (Refusal::NoCapacity, Some((min, max))) => rand::random_range(min..=max),
+            _ => retry_after_ms(left_ms),
         })
     }
 }
 
-/// Returns when a refused caller may come back.
+/// Returns a random retry delay for a refused caller.
 ///
-/// Spread over a range, so that callers refused together don't return together.
-fn come_back_ms(left_ms: u64) -> u64 {
-    let (least, most) = COME_BACK_MS;
-    let most = (left_ms / COME_BACK_PART).clamp(least, most);
-    rand::random_range(least.min(most)..=most)
+/// The jitter keeps callers that were refused together from retrying together.
+fn retry_after_ms(left_ms: u64) -> u64 {
+    let (min, max) = RETRY_AFTER_RANGE_MS;
+    let max = (left_ms / RETRY_AFTER_DIVISOR).clamp(min, max);
+    rand::random_range(min.min(max)..=max)
 }
 
-/// Returns the least and the most time after which a caller may come back, if all
-/// upstreams have asked for pauses of which the first ends in `pause_ms`.
-fn after_pause_ms(pause_ms: u64) -> (u64, u64) {
-    (pause_ms, pause_ms + (pause_ms / PAUSE_SPREAD_PART).max(COME_BACK_MS.0))
+/// Returns the range of retry delays if all upstreams have asked for pauses, the first of
+/// which ends in `pause_ms`.
+fn retry_range_after_pause_ms(pause_ms: u64) -> (u64, u64) {
+    (pause_ms, pause_ms + (pause_ms / PAUSE_SPREAD_DIVISOR).max(RETRY_AFTER_RANGE_MS.0))
 }
 
-/// Returns when a caller may come back for whom no upstream has the weights.
+/// Returns a random retry delay for a caller for which no upstream has the weights.
 ///
-/// Nobody is known to load them, so it comes back as late as callers follow the
-/// advice: a caller returns once, and early it would be refused once more.
-fn come_back_late_ms(left_ms: u64) -> u64 {
-    let most = (left_ms / COME_BACK_PART).max(1);
-    rand::random_range(most / 2..=most)
+/// No upstream is known to load them, so the delay is as long as callers honour: a caller
+/// retries once, and an early retry would be refused again.
+fn late_retry_after_ms(left_ms: u64) -> u64 {
+    let max = (left_ms / RETRY_AFTER_DIVISOR).max(1);
+    rand::random_range(max / 2..=max)
 }
 
 fn head_bytes(head: &Parts) -> usize {
@@ -251,51 +256,53 @@
         .sum::<usize>()
 }
 
-/// What serving a request led to.
-enum Served {
-    Whole(Response<OutBody>),
-    Stream(Answer),
-    /// A plain answer that is too long to be held back, and what was read of it.
-    Long(Answer, Bytes),
+/// The outcome of serving a request.
+enum ServeOutcome {
+    Complete(Response<OutBody>),
+    Stream(UpstreamResponse),
+    /// A plain response that is too large to be buffered, and the part that was read.
+    Partial(UpstreamResponse, Bytes),
     Refused(Refusal),
 }
 
-/// Logs a caller that leaves before its answer begins.
+/// Logs the request if its caller disconnects before the response starts.
 ///
-/// The server drops the work on a request when its caller closes the connection;
-/// without this, such a request would end without a line.
+/// The HTTP server drops the handler's future when the caller closes the connection, so
+/// such a request would otherwise not be logged.
 struct CallerGuard<D: Dialect, C: Clock> {
     gateway: Arc<Gateway<D, C>>,
     job: Option<Job>,
 }
 
 impl<D: Dialect, C: Clock> CallerGuard<D, C> {
-    async fn serve(&mut self) -> Served {
+    async fn serve(&mut self) -> ServeOutcome {
         let Some(job) = &mut self.job else {
-            return Served::Refused(Refusal::NotReady);
+            return ServeOutcome::Refused(Refusal::NotReady);
         };
         loop {
-            let answer = match self.gateway.forward(job).await {
-                Ok(answer) => answer,
-                Err(refusal) => return Served::Refused(refusal),
+            let response = match self.gateway.forward(job).await {
+                Ok(response) => response,
+                Err(refusal) => return ServeOutcome::Refused(refusal),
             };
-            if is_stream(job, &answer.response) {
-                return Served::Stream(answer);
+            if is_stream(job, &response.http) {
+                return ServeOutcome::Stream(response);
             }
-            match self.gateway.read_whole(job, answer).await {
-                Ok(PlainAnswer::Whole(answer)) => return Served::Whole(answer),
-                Ok(PlainAnswer::Long(answer, begun)) => {
-                    return Served::Long(answer, begun);
+            match self.gateway.buffer_response(job, response).await {
+                Ok(PlainResponse::Complete(response)) => {
+                    return ServeOutcome::Complete(response);
+                }
+                Ok(PlainResponse::Partial(response, buffered)) => {
+                    return ServeOutcome::Partial(response, buffered);
                 }
-                Err(Refusal::Unanswered) => {
+                Err(Refusal::OutcomeUnknown) => {
                     job.runs += 1;
                     let again = self.gateway.may_run_after(job, job.runs)
                         && self.gateway.may_repeat(&job.pool.name, Repeat::Anew);
                     if !again {
-                        return Served::Refused(Refusal::Unanswered);
+                        return ServeOutcome::Refused(Refusal::OutcomeUnknown);
                     }
                 }
-                Err(refusal) => return Served::Refused(refusal),
+                Err(refusal) => return ServeOutcome::Refused(refusal),
             }
         }
     }
@@ -305,7 +312,7 @@
     fn drop(&mut self) {
         if let Some(job) = &self.job {
             self.gateway.record_abandoned_run(job);
-            self.gateway.conclude(job, "caller_left");
+            self.gateway.record_outcome(job, "caller_left");
         }
     }
 }
--- a/crates/bilberry-gateway/src/stopping.rs
+++ b/crates/bilberry-gateway/src/stopping.rs
@@ -1,9 +1,10 @@
-//! Making sure that a run is over before another engine goes on with it.
+//! Ensures that a run has ended before another engine resumes it.
 //!
-//! The load pattern: a stream that runs at most once falls silent or breaks off. Its
-//! engine may have ended, be cut off, hang, or stand still with its host, and who closed a
-//! connection can't be told. Closing it ends nothing at an engine that does not look; so
-//! the engine itself is asked to stop the run, until it says so or can't be reached at all.
+//! This applies to at-most-once streams that stop sending events or are cut off. The engine
+//! may have exited, be partitioned or hang, or its host may be suspended, and the entry
+//! can't tell which side closed a connection. Closing the connection does not end the run
+//! at an engine that does not check it. The entry therefore asks the engine to stop the
+//! run, until the engine confirms it or can't be reached at all.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -30,161 +31,161 @@
 use crate::connections::ConnectError;
 use crate::connections::connect;
 
-/// How long an answer to the call that stops a run is waited for.
+/// The initial timeout for the response to a stop call.
 ///
-/// It comes once the run's memory is moved, some tens of milliseconds.
-pub(crate) const STOP_ANSWER: Duration = Duration::from_secs(1);
+/// The engine responds once the run's KV cache is transferred, which takes some tens of
+/// milliseconds.
+pub(crate) const STOP_REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The longest that an answer to such a call is waited for.
-const MOST_STOP_ANSWER: Duration = Duration::from_secs(8);
+/// The upper bound of the growing response timeout.
+const MAX_STOP_REPLY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// How long to wait between two calls.
-const PAUSE: Duration = Duration::from_millis(50);
+/// The initial delay between two stop calls.
+const STOP_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The longest wait between two calls.
-const MOST_PAUSE: Duration = Duration::from_millis(400);
+/// The upper bound of the growing delay.
+const MAX_STOP_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// The longest answer to such a call that is read.
-const MAX_ANSWER_BYTES: usize = 64 * 1_024;
+/// The largest response body to a stop call that is read.
+const MAX_STOP_REPLY_BYTES: usize = 64 * 1_024;
 
-/// How a run came to its end where it began.
+/// How a run ended at the engine that started it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum FirstRun {
-    /// It is over there.
-    Over(RunEnd),
-    /// It was stopped, and the next engine holds its memory under this name.
+pub(crate) enum FirstRunEnd {
+    /// It has ended without a transfer of its KV cache.
+    Ended(RunEnd),
+    /// It was stopped, and the successor holds this copy of its KV cache.
     Moved(MemoryCopy),
 }
 
-/// A run that another engine is to go on with.
+/// An at-most-once run that another engine can take over.
 #[derive(Debug)]
-pub(crate) struct DoubtfulRun {
+pub(crate) struct RunTakeover {
     pub(crate) attempt: Name,
-    /// The engine that began it.
+    /// The engine that started it.
     pub(crate) upstream: Arc<Upstream>,
-    /// The engine that keeps a copy of its memory.
-    pub(crate) next: Arc<Upstream>,
-    /// Whether engines stop runs when asked to.
+    /// The engine that holds a copy of its KV cache and takes it over.
+    pub(crate) successor: Arc<Upstream>,
+    /// Whether the service's engines support stop calls.
     pub(crate) can_be_stopped: bool,
-    /// Whether the connection of its stream is open.
+    /// Whether the connection that carries its stream is open.
     pub(crate) stream_is_open: AtomicBool,
-    /// Whether the engine was asked to stop it, and may do so at any time since.
-    pub(crate) asked_to_stop: AtomicBool,
+    /// Whether the engine was asked to stop it, and may do so at any time from then on.
+    pub(crate) stop_requested: AtomicBool,
 }
 
-impl DoubtfulRun {
-    /// Reports whether its engine may stop it, as it was asked to.
-    pub(crate) fn was_asked_to_stop(&self) -> bool {
-        self.asked_to_stop.load(Ordering::Relaxed)
+impl RunTakeover {
+    /// Reports whether its engine was asked to stop it.
+    pub(crate) fn is_stop_requested(&self) -> bool {
+        self.stop_requested.load(Ordering::Relaxed)
     }
 
-    /// Notes that the connection of its stream is closed, by whomever.
-    pub(crate) fn note_stream_closed(&self) {
+    /// Records that the connection of its stream was closed by either side.
+    pub(crate) fn mark_stream_closed(&self) {
         self.stream_is_open.store(false, Ordering::Relaxed);
     }
 }
 
-/// The growing waits between calls that ask an engine to stop a run.
+/// The exponential backoff between the calls that ask an engine to stop a run.
 ///
-/// Each wait is twice as long after a failed call, so that the calls to an engine that
-/// stands still do not fill its queue of connections, nor burden one that does not say
-/// what became of the run.
+/// Timeout and delay double after each failed call. The calls then neither fill the accept
+/// queue of a suspended engine nor load one that does not report the state of the run.
 struct Backoff {
-    answer_within: Duration,
-    pause: Duration,
+    reply_timeout: Duration,
+    delay: Duration,
 }
 
 impl Backoff {
     fn new() -> Self {
-        Self { answer_within: STOP_ANSWER, pause: PAUSE }
+        Self { reply_timeout: STOP_REPLY_TIMEOUT, delay: STOP_RETRY_DELAY }
     }
 
-    fn after_failed_attempt(&mut self) {
-        self.answer_within = (self.answer_within * 2).min(MOST_STOP_ANSWER);
-        self.pause = (self.pause * 2).min(MOST_PAUSE);
+    fn increase(&mut self) {
+        self.reply_timeout = (self.reply_timeout * 2).min(MAX_STOP_REPLY_TIMEOUT);
+        self.delay = (self.delay * 2).min(MAX_STOP_RETRY_DELAY);
     }
 }
 
 impl<D: Dialect, C: Clock> Gateway<D, C> {
-    /// Returns once a run is over where it began, however long that takes.
-    pub(crate) async fn end_run(&self, run: &DoubtfulRun) -> FirstRun {
+    /// Waits, without a time limit, until a run has ended at the engine that started it.
+    pub(crate) async fn ensure_run_ended(&self, run: &RunTakeover) -> FirstRunEnd {
         let began_at = self.clock.now();
         let mut reaching = Reaching::default();
         let mut backoff = Backoff::new();
         loop {
-            let ended = self.try_to_end(run, &mut reaching, &backoff).await;
-            if let Some(first_run) = ended {
+            let ended = self.try_end_run(run, &mut reaching, &backoff).await;
+            if let Some(first_run_end) = ended {
                 let took_ms = self.clock.now().ms_since(began_at);
-                log_end(run, &first_run, took_ms);
-                return first_run;
+                log_run_end(run, &first_run_end, took_ms);
+                return first_run_end;
             }
             run.upstream.record_failure(self.clock.now());
-            sleep(backoff.pause).await;
-            if run.was_asked_to_stop() {
-                backoff.after_failed_attempt();
+            sleep(backoff.delay).await;
+            if run.is_stop_requested() {
+                backoff.increase();
             }
         }
     }
 
-    async fn try_to_end(
+    async fn try_end_run(
         &self,
-        run: &DoubtfulRun,
+        run: &RunTakeover,
         reaching: &mut Reaching,
         backoff: &Backoff,
-    ) -> Option<FirstRun> {
+    ) -> Option<FirstRunEnd> {
         if run.upstream.has_ended() {
-            return Some(FirstRun::Over(RunEnd::StartedAnew));
+            return Some(FirstRunEnd::Ended(RunEnd::StartedAnew));
         }
         let connected = connect(run.upstream.address).await;
         let reach = match &connected {
             Ok(_) => Reach::Taken,
             Err(ConnectError::Refused) => Reach::Refused,
-            Err(ConnectError::Silent(_)) => Reach::Silent,
+            Err(ConnectError::Unreachable(_)) => Reach::Silent,
             Err(ConnectError::Failed(_)) => return None,
         };
         let sidecar = run.upstream.sidecar_status(self.clock.now());
         let stream_is_open = run.stream_is_open.load(Ordering::Relaxed);
         match (reaching.note(reach, sidecar, stream_is_open), connected) {
-            (Some(end), _) => Some(FirstRun::Over(end)),
+            (Some(end), _) => Some(FirstRunEnd::Ended(end)),
             (None, Ok(connection)) if run.can_be_stopped => {
                 let stopping = self.stop_run(run, connection);
-                timeout(backoff.answer_within, stopping).await.ok()?
+                timeout(backoff.reply_timeout, stopping).await.ok()?
             }
             (None, _) => None,
         }
     }
 
-    /// Has an engine stop a run; `None` if it does not say what became of it.
+    /// Asks an engine to stop a run; `None` if it does not report the state of the run.
     async fn stop_run(
         &self,
-        run: &DoubtfulRun,
+        run: &RunTakeover,
         mut connection: Connection,
-    ) -> Option<FirstRun> {
+    ) -> Option<FirstRunEnd> {
         let upstream = run.upstream.address;
         let attempt = run.attempt.clone();
-        let stop = StopCall { upstream, attempt, next: run.next.address };
-        run.asked_to_stop.store(true, Ordering::Relaxed);
-        let answer = connection.send(self.dialect.stop_call(&stop)).await.ok()?;
-        let status = answer.status();
-        let told = self.dialect.server_status(status, answer.headers());
-        run.upstream.record_status(&told, self.clock.now());
-        let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES).collect();
+        let stop = StopCall { upstream, attempt, next: run.successor.address };
+        run.stop_requested.store(true, Ordering::Relaxed);
+        let response = connection.send(self.dialect.stop_call(&stop)).await.ok()?;
+        let status = response.status();
+        let server_status = self.dialect.server_status(status, response.headers());
+        run.upstream.record_status(&server_status, self.clock.now());
+        let body = Limited::new(response.into_body(), MAX_STOP_REPLY_BYTES).collect();
         let body = body.await.ok()?.to_bytes();
         match self.dialect.stop_reply(status, &body) {
             StopReply::Moved(name) => {
-                Some(FirstRun::Moved(MemoryCopy { named_by: upstream, name }))
+                Some(FirstRunEnd::Moved(MemoryCopy { named_by: upstream, name }))
             }
-            StopReply::Stopped => Some(FirstRun::Over(RunEnd::Stopped)),
-            StopReply::NoSuchRun => Some(FirstRun::Over(RunEnd::Unknown)),
+            StopReply::Stopped => Some(FirstRunEnd::Ended(RunEnd::Stopped)),
+            StopReply::NoSuchRun => Some(FirstRunEnd::Ended(RunEnd::Unknown)),
             StopReply::Unclear => None,
         }
     }
 }
 
-fn log_end(run: &DoubtfulRun, first_run: &FirstRun, took_ms: u64) {
-    let end = match first_run {
-        FirstRun::Over(end) => *end,
-        FirstRun::Moved(_) => RunEnd::Stopped,
+fn log_run_end(run: &RunTakeover, first_run_end: &FirstRunEnd, took_ms: u64) {
+    let end = match first_run_end {
+        FirstRunEnd::Ended(end) => *end,
+        FirstRunEnd::Moved(_) => RunEnd::Stopped,
     };
     log::info!(
         target: "stream",
@@ -192,6 +193,6 @@
         upstream = run.upstream.id.as_str(),
         end = end.as_str(),
         took_ms;
-        "over there, may go on elsewhere"
+        "run ended at its first upstream; another may resume it"
     );
 }
