--- a/crates/bilberry-gateway/src/backup.rs
+++ b/crates/bilberry-gateway/src/backup.rs
@@ -1,8 +1,9 @@
 //! Resumes a request from a backup of its KV cache.
 //!
-//! This applies to at-most-once streams whose engine crashes. A retry from the start could
-//! run the request twice. Another engine that received a copy of the KV cache during the
-//! run can instead continue that run, once the run at the first engine has ended.
+//! This applies to at-most-once streams whose engine crashes. A retry from the start
+//! could run the request twice. Another engine that received a copy of the KV cache
+//! during the run can instead continue that run, once the run at the first engine has
+//! ended.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -27,9 +28,9 @@
 impl<D: Dialect, C: Clock> Gateway<D, C> {
     /// Chooses the engine that keeps a backup of the request's KV cache.
     ///
-    /// It must have the same weights, as a KV cache computed with others can't be used. An
-    /// engine in the same data centre is preferred, as copies between data centres take
-    /// twice as long; then the one with the most free memory.
+    /// It must have the same weights, as a KV cache computed with others can't be used.
+    /// An engine in the same data centre is preferred, as copies between data centres
+    /// take twice as long; then the one with the most free memory.
     pub(crate) fn choose_backup(
         &self,
         job: &Job,
@@ -75,8 +76,8 @@
 
     /// Resumes the run on the engine with the backup, after the last event relayed.
     ///
-    /// Returns `None` if that fails or there is no backup, and if the first engine may still
-    /// run the request when the caller's deadline passes.
+    /// Returns `None` if that fails or there is no backup, and if the first engine may
+    /// still run the request when the caller's deadline passes.
     pub(crate) async fn resume_from_backup(
         self: &Arc<Self>,
         job: &mut Job,
--- a/crates/bilberry-gateway/src/call.rs
+++ b/crates/bilberry-gateway/src/call.rs
@@ -100,7 +100,8 @@
 pub struct MemoryCopy {
     /// The upstream that assigned the name.
     pub named_by: SocketAddr,
-    /// The copy's name at that upstream; the attempt's name if it was copied during the run.
+    /// The copy's name at that upstream; the attempt's name if it was copied during the
+    /// run.
     pub name: Name,
 }
 
--- a/crates/bilberry-gateway/src/connections.rs
+++ b/crates/bilberry-gateway/src/connections.rs
@@ -103,7 +103,7 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // Closing the connection cancels the request at the upstream.
+        // Closing the connection tells the upstream that the request is cancelled.
         self.driver.abort();
     }
 }
--- a/crates/bilberry-gateway/src/dispatch.rs
+++ b/crates/bilberry-gateway/src/dispatch.rs
@@ -84,7 +84,8 @@
         dispatch.salt = Some(keys.salt().to_string());
     }
 
-    /// Returns how much of the shared prompt an upstream holds or can fetch, and from where.
+    /// Returns how much of the shared prompt an upstream holds or can fetch, and from
+    /// where.
     fn prompt_supply(
         &self,
         job: &Job,
--- a/crates/bilberry-gateway/src/forward.rs
+++ b/crates/bilberry-gateway/src/forward.rs
@@ -30,7 +30,8 @@
 /// How long no requests are sent to an upstream that reported that it is full.
 const BUSY_PAUSE_MS: u64 = 60;
 
-/// The share of its target latency after which a plain call without a response is retried.
+/// The share of its target latency after which a plain call without a response is
+/// retried.
 const PLAIN_TIMEOUT_FACTOR: f64 = 0.7;
 
 /// The timeout for the start of a stream, as a multiple of its target latency.
@@ -69,8 +70,8 @@
     /// Sends the request to upstreams until one responds.
     ///
     /// An error response is kept while other upstreams are tried, and relayed if none of
-    /// them succeeds. Once a send may have run, no refusal claims that the request did not
-    /// run: a later upstream's refusal covers only the send to that upstream.
+    /// them succeeds. Once a send may have run, no refusal claims that the request did
+    /// not run: a later upstream's refusal covers only the send to that upstream.
     pub(crate) async fn forward(
         self: &Arc<Self>,
         job: &mut Job,
@@ -196,12 +197,13 @@
         let repeatable = job.route.kind.is_repeatable();
         let may_repeat = self.may_run_after(job, job.runs + 1);
         let left = job.deadline.left(now);
+        let max_wait = response_timeout(job, upstream.is_followed(now));
         let sent = tokio::select! {
             sent = connection.send(request) => sent,
             _ = upstream.lost(), if repeatable => {
                 Err(SendError::NoResponse("the upstream is down".to_string()))
             }
-            _ = sleep(response_timeout(job, upstream.is_followed(now))), if may_repeat => {
+            _ = sleep(max_wait), if may_repeat => {
                 upstream.record_failure(self.clock.now());
                 return SendOutcome::MayHaveRun("silent");
             }
--- a/crates/bilberry-gateway/src/gateway.rs
+++ b/crates/bilberry-gateway/src/gateway.rs
@@ -162,7 +162,8 @@
         self.store_freshness.lock().unwrap().confirm_read(asked_at);
     }
 
-    /// Reports whether the store answered this entry directly within the last `within_ms`.
+    /// Reports whether the store answered this entry directly within the last
+    /// `within_ms`.
     pub fn has_reached_store(&self, within_ms: u64) -> bool {
         self.store_freshness.lock().unwrap().holds(self.clock.now(), within_ms)
     }
@@ -253,7 +254,8 @@
         act(budgets.entry(pool.clone()).or_insert_with(fresh))
     }
 
-    /// Returns the range of retry delays for callers if no upstream of the service is alive.
+    /// Returns the range of retry delays for callers if no upstream of the service is
+    /// alive.
     pub(crate) fn outage_retry_range_ms(
         &self,
         pool: &Name,
--- a/crates/bilberry-gateway/src/job.rs
+++ b/crates/bilberry-gateway/src/job.rs
@@ -69,9 +69,11 @@
     pub weights_outdated_ms: Option<u64>,
     /// The keys of the shared prompt parts, by the version of the weights.
     pub prompt_keys: Vec<(u64, Arc<PromptKeys>)>,
-    /// The shared parts that the upstream computes for it, once announced to other entries.
+    /// The shared parts that the upstream computes for it, once announced to other
+    /// entries.
     pub reads: Option<Reads>,
-    /// Until when it waits for shared parts that other requests compute, once it has begun to.
+    /// Until when it waits for shared parts that other requests compute, once it has
+    /// begun to.
     pub waits_for_parts_until: Option<UnixMs>,
     /// How long it waited for capacity and for parts that other requests compute.
     pub waited_ms: u64,
@@ -159,7 +161,8 @@
     /// Returns the cache salt of the request's prompt.
     ///
     /// It includes the version of the weights, as a prompt store also keeps what older
-    /// weights computed. An isolated customer's name separates its prompts from all others.
+    /// weights computed. An isolated customer's name separates its prompts from all
+    /// others.
     pub fn salt(&self, weights: u64) -> String {
         let model = self.call.model.as_deref().unwrap_or_default();
         match self.customer.as_ref().filter(|customer| customer.isolated) {
@@ -168,7 +171,8 @@
         }
     }
 
-    /// Returns the keys of the shared prompt parts, computed once per version of the weights.
+    /// Returns the keys of the shared prompt parts, computed once per version of the
+    /// weights.
     pub fn keys(&mut self, weights: u64) -> Arc<PromptKeys> {
         if let Some((_, keys)) = self.prompt_keys.iter().find(|(at, _)| *at == weights) {
             return keys.clone();
--- a/crates/bilberry-gateway/src/lib.rs
+++ b/crates/bilberry-gateway/src/lib.rs
@@ -1,8 +1,8 @@
 //! A reverse proxy that routes HTTP requests to upstreams.
 //!
-//! Method, path and body pass through unchanged. The gateway decides which upstream gets a
-//! request, whether the request waits for capacity, and whether it is retried or refused.
-//! An implementation of [`Dialect`] translates the headers of the platform.
+//! Method, path and body pass through unchanged. The gateway decides which upstream gets
+//! a request, whether the request waits for capacity, and whether it is retried or
+//! refused. An implementation of [`Dialect`] translates the headers of the platform.
 
 mod backup;
 mod call;
--- a/crates/bilberry-gateway/src/placing.rs
+++ b/crates/bilberry-gateway/src/placing.rs
@@ -35,7 +35,7 @@
         let max_wait_ms = job.deadline.ms_since(began) / WAIT_DIVISOR;
         let until = began.plus_ms(max_wait_ms);
         let seat = loop {
-            // Registered before the check, so that no change in between is missed.
+            // Created before the check, so that no change in between is missed.
             let changed = self.upstreams.changed.notified();
             let checked_at = self.clock.now();
             let mut retry_ms = PLACEMENT_RETRY_MS;
@@ -84,7 +84,8 @@
     /// load others by `until`.
     ///
     /// A request that waited for them would be refused in the end. If no upstream is left
-    /// or listed yet, the result is false, as one may appear at any time with any weights.
+    /// or listed yet, the result is false, as one may appear at any time with any
+    /// weights.
     fn all_weights_barred(&self, job: &Job, until: UnixMs, now: UnixMs) -> bool {
         let Some(model) = &job.call.model else { return false };
         let upstreams = self.upstreams.of(&job.pool.name);
--- a/crates/bilberry-gateway/src/plain_answer.rs
+++ b/crates/bilberry-gateway/src/plain_answer.rs
@@ -23,7 +23,8 @@
 
 /// The largest plain response that is buffered in full before it is relayed.
 ///
-/// If a buffered response is cut off, the request can still be retried on another upstream.
+/// If a buffered response is cut off, the request can still be retried on another
+/// upstream.
 const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
 /// A plain response, complete or with the part that was buffered.
--- a/crates/bilberry-gateway/src/relay.rs
+++ b/crates/bilberry-gateway/src/relay.rs
@@ -57,8 +57,8 @@
 
 /// Waits until the sidecar reports the upstream as lost and [`LOST_GRACE`] has passed.
 ///
-/// Each event restarts this wait. An upstream that shuts down answers no health checks but
-/// still finishes its runs. When the sidecar's report alone was enough, at-most-once
+/// Each event restarts this wait. An upstream that shuts down answers no health checks
+/// but still finishes its runs. When the sidecar's report alone was enough, at-most-once
 /// streams were cut off and lost.
 async fn wait_until_lost(upstream: &Upstream) {
     upstream.lost().await;
@@ -145,7 +145,7 @@
             drop(response);
             splitter.drop_partial();
             let resumed = tokio::select! {
-                resumed = self.resume(job, &splitter, &upstream, first_run_end) => resumed,
+                next = self.resume(job, &splitter, &upstream, first_run_end) => next,
                 _ = pieces.closed() => return BodyEnd::CallerLeft,
             };
             match resumed {
@@ -207,7 +207,9 @@
                 frame = response.http.body_mut().frame() => frame,
                 _ = pieces.closed() => return RelayEnd::Finished(BodyEnd::CallerLeft),
                 _ = sleep(left) => return RelayEnd::Finished(BodyEnd::DeadlinePassed),
-                _ = sleep(silence), if may_resume => return RelayEnd::may_still_run(SILENT),
+                _ = sleep(silence), if may_resume => {
+                    return RelayEnd::may_still_run(SILENT);
+                }
                 _ = wait_until_lost(&upstream), if may_resume => {
                     return RelayEnd::may_still_run("lost");
                 }
@@ -295,15 +297,16 @@
     }
 }
 
-/// Reports whether the headers delimit the body, so that its end can be told from a closed
-/// connection.
+/// Reports whether the headers delimit the body, so that its end can be told from a
+/// closed connection.
 fn is_framed(headers: &HeaderMap) -> bool {
     headers.contains_key(TRANSFER_ENCODING) || headers.contains_key(CONTENT_LENGTH)
 }
 
 /// Returns how an upstream's part of a stream ended.
 ///
-/// With `is_clean_end_complete`, a body that ends between two events is taken as complete.
+/// With `is_clean_end_complete`, a body that ends between two events is taken as
+/// complete.
 fn end_of_stream(
     end: Option<Result<Frame<Bytes>, hyper::Error>>,
     splitter: &EventSplitter,
--- a/crates/bilberry-gateway/src/stopping.rs
+++ b/crates/bilberry-gateway/src/stopping.rs
@@ -1,10 +1,10 @@
 //! Ensures that a run has ended before another engine resumes it.
 //!
-//! This applies to at-most-once streams that stop sending events or are cut off. The engine
-//! may have exited, be partitioned or hang, or its host may be suspended, and the entry
-//! can't tell which side closed a connection. Closing the connection does not end the run
-//! at an engine that does not check it. The entry therefore asks the engine to stop the
-//! run, until the engine confirms it or can't be reached at all.
+//! This applies to at-most-once streams that stop sending events or are cut off. The
+//! engine may have exited, be partitioned or hang, or its host may be suspended, and the
+//! entry can't tell which side closed a connection. Closing the connection does not end
+//! the run at an engine that does not check it. The entry therefore asks the engine to
+//! stop the run, until the engine confirms it or can't be reached at all.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -88,8 +88,9 @@
 
 /// The exponential backoff between the calls that ask an engine to stop a run.
 ///
-/// Timeout and delay double after each failed call. The calls then neither fill the accept
-/// queue of a suspended engine nor load one that does not report the state of the run.
+/// Timeout and delay double after each failed call. The calls then neither fill the
+/// accept queue of a suspended engine nor load one that does not report the state of the
+/// run.
 struct Backoff {
     reply_timeout: Duration,
     delay: Duration,
