--- a/crates/bilberry-gateway/src/crashes.rs
+++ b/crates/bilberry-gateway/src/crashes.rs
@@ -1,10 +1,9 @@
-//! Which runs were in progress at an upstream when it crashed.
+//! Attribution of upstream crashes to the runs in progress.
 //!
-//! A run whose connection ends early may have been cut by anything; it counts as in
-//! progress at a crash only once the upstream's end is confirmed by its sidecar, by a
-//! later start, or, where no sidecar reports, by a refused connection. Reports reach
-//! the other entries through a few sidecars, which also replay them to entries that
-//! connect later.
+//! A connection may end early for many reasons. A run counts as in progress at a crash
+//! only once the crash is confirmed by the upstream's sidecar, by a later start, or,
+//! where no sidecar reports, by a refused connection. Reports reach the other entries
+//! through a few sidecars, which also replay them to entries that connect later.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,27 +28,26 @@
 use crate::connections::ConnectError;
 use crate::connections::connect;
 use crate::known_crashes::IncarnationHash;
-use crate::known_crashes::Merged;
+use crate::known_crashes::MergeOutcome;
 
-/// How long the confirmation of a crash is waited for; sidecars report one within a
-/// tenth of a second.
+/// How long to wait for the confirmation of a crash; sidecars report one within 100 ms.
 const CONFIRM_WITHIN: Duration = Duration::from_secs(2);
 
-/// The same after a caller left; many do so at a slow engine, whatever crashes it later.
+/// How long to wait for the confirmation after a caller left. Shorter, as many callers
+/// leave a slow engine, and a later crash of it may have any cause.
 const ABANDONED_WITHIN: Duration = Duration::from_millis(500);
 
-/// How long after a connection ended an upstream without a sidecar is probed, so that a
-/// process that is about to exit has closed its listening socket.
+/// The delay between the end of a connection and the probe of an upstream without a
+/// sidecar, in which an exiting process closes its listening socket.
 const PROBE_AFTER: Duration = Duration::from_millis(50);
 
-/// How many sidecars relay a report, so that the loss of one loses none.
+/// How many sidecars relay a report, so that no report is lost when a sidecar fails.
 const RELAYS: usize = 3;
 
 impl<D: Dialect, C: Clock> Gateway<D, C> {
-    /// Records that a run's connection ended early, and later whether its upstream
-    /// crashed.
+    /// Starts to watch for a crash of the upstream after a run's connection ended early.
     ///
-    /// An upstream that leaves ends as planned.
+    /// Does nothing for an upstream that is leaving, whose shutdown is planned.
     pub(crate) fn record_interrupted_run(
         self: &Arc<Self>,
         job: &Job,
@@ -66,8 +64,9 @@
         self.watch_for_crash(job, upstream, ended_at, confirmation);
     }
 
-    /// Records that a caller left while its request may still run, and later whether the
-    /// upstream crashed; an engine may run a request whose connection is closed.
+    /// Starts to watch for a crash of the upstream after a caller left while its
+    /// request may still run; an engine may continue a request whose connection is
+    /// closed.
     pub(crate) fn record_abandoned_run(self: &Arc<Self>, job: &Job) {
         let Some(upstream) = &job.sent_to else { return };
         if !upstream.is_leaving() && upstream.is_followed(self.clock.now()) {
@@ -76,9 +75,9 @@
         }
     }
 
-    /// Reports a run as in progress at a crash once that is confirmed.
+    /// Reports a run as in progress at a crash once the crash is confirmed.
     ///
-    /// Without `ended_at`, the run is taken to have lasted until the confirmation.
+    /// Without `ended_at`, the run is assumed to have lasted until the confirmation.
     fn watch_for_crash(
         self: &Arc<Self>,
         job: &Job,
@@ -86,7 +85,7 @@
         ended_at: Option<UnixMs>,
         confirmation: Confirmation,
     ) {
-        // A caller may also leave as the process ends.
+        // There is no runtime if a caller leaves during the shutdown of the process.
         let Ok(runtime) = Handle::try_current() else { return };
         let mut run = InterruptedRun::new(job, upstream);
         let gateway = self.clone();
@@ -111,8 +110,8 @@
         self.merge_crashes(reports, Origin::Relayed);
     }
 
-    /// Records that a request ran to its end, so that it is not blamed for crashes
-    /// before.
+    /// Records that a request completed, so that earlier crashes are not attributed to
+    /// it.
     pub(crate) fn record_served(&self, job: &Job) {
         let now = self.clock.now();
         let voided = self.crashes.record_served(job.key, now);
@@ -131,12 +130,13 @@
         }
     }
 
-    /// Reports whether a request is sent once an attempt, and where least else runs.
+    /// Reports whether a request may have caused a crash. A suspect request is sent only
+    /// once per attempt, to the upstream with the fewest other runs.
     pub(crate) fn is_suspect(&self, job: &Job) -> bool {
         self.crashes.standing(job.key, self.clock.now()) != Standing::Good
     }
 
-    /// Returns how many crashes in an upstream's known incarnation have been reported,
+    /// Returns how many crashes of an upstream's known incarnation have been reported,
     /// or 0 for engines.
     ///
     /// Plain servers may restart before their new start is known. An engine's sidecar
@@ -154,11 +154,11 @@
         job.may_run_after(runs) && !self.is_suspect(job)
     }
 
-    /// Merges reports, logs the quarantines that begin, and shares those of this
-    /// entry's own.
+    /// Merges reports, logs new quarantines, and shares the reports that originate here.
     fn merge_crashes(&self, reports: Vec<CrashReport>, origin: Origin) {
         let now = self.clock.now();
-        let Merged { news, voided, quarantined } = self.crashes.merge(reports, now);
+        let MergeOutcome { new_reports, voided, quarantined } =
+            self.crashes.merge(reports, now);
         for (request, until) in quarantined {
             self.metrics.quarantines.inc();
             log::warn!(
@@ -168,7 +168,7 @@
                 "request quarantined, it crashed the servers that ran it"
             );
         }
-        let own = if origin == Origin::Own { news } else { Vec::new() };
+        let own = if origin == Origin::Own { new_reports } else { Vec::new() };
         self.share_crashes(own.into_iter().chain(voided).collect());
     }
 
@@ -179,29 +179,29 @@
         let now = self.clock.now();
         let mut sidecars = self.upstreams.all();
         sidecars.retain(|upstream| upstream.is_followed(now));
-        // An order of the request's own, in which entries choose the same sidecars.
+        // The order depends on the request, so that all entries choose the same sidecars.
         sidecars.sort_by_key(|upstream| upstream.seed ^ hash);
         for notice in CrashNotice::of(&reports) {
             let sent = sidecars.iter().filter(|upstream| {
                 upstream.send_to_sidecar(Body::CrashNotice(notice.clone()))
             });
             if sent.take(RELAYS).count() == 0 {
-                log::debug!("no sidecar relays crashes of {hash:016x}");
+                log::debug!("no sidecar to relay crash reports of {hash:016x}");
             }
         }
     }
 }
 
-/// Who saw the crashes of a report.
+/// Where a report was observed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Origin {
     /// This entry.
     Own,
-    /// Another one; a sidecar relayed it.
+    /// Another entry; a sidecar relayed the report.
     Relayed,
 }
 
-/// A run whose connection ended before its answer was whole.
+/// A run whose connection ended before its answer was complete.
 #[derive(Debug)]
 struct InterruptedRun {
     attempt: Name,
@@ -249,9 +249,9 @@
 /// How the crash of an upstream is confirmed.
 #[derive(Debug, Clone, Copy)]
 enum Confirmation {
-    /// Its sidecar reports it, or a later start, in time.
+    /// Its sidecar reports the crash, or a later start, in time.
     BySidecar { within: Duration },
-    /// It refuses a new connection.
+    /// The upstream refuses a new connection.
     ByProbe,
 }
 
--- a/crates/bilberry-gateway/src/known_crashes.rs
+++ b/crates/bilberry-gateway/src/known_crashes.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of crashes and of the requests that ran at crashed upstreams.
+//! The crashes known to an entry and the requests that ran at crashed upstreams.
 
 use std::sync::Mutex;
 
@@ -14,10 +14,11 @@
 
 use crate::Upstream;
 
-/// How many crashes of one incarnation are told apart.
+/// The most crashes of one incarnation that are counted separately.
 const MAX_EARLIER_CRASHES: u64 = 64;
 
-/// The crashes that this entry or others have seen, and the requests served here lately.
+/// The crashes that this entry or others have reported, and the requests that completed
+/// here recently.
 #[derive(Debug, Default)]
 pub(crate) struct KnownCrashes {
     ledger: Mutex<CrashLedger>,
@@ -51,28 +52,29 @@
     }
 }
 
-/// What reports have changed.
+/// The outcome of merging reports.
 #[derive(Debug)]
-pub(crate) struct Merged {
-    /// The reports that were not known.
-    pub(crate) news: Vec<CrashReport>,
-    /// Crashes that are void, as their requests ran to their end here shortly before.
+pub(crate) struct MergeOutcome {
+    /// The reports that were not known before.
+    pub(crate) new_reports: Vec<CrashReport>,
+    /// Crashes that are void, as their requests completed here shortly before.
     pub(crate) voided: Vec<CrashReport>,
-    /// The requests whose quarantine has begun, and until when.
+    /// The newly quarantined requests, each with the end of its quarantine.
     pub(crate) quarantined: Vec<(RequestKey, UnixMs)>,
 }
 
 impl KnownCrashes {
-    /// Merges reports.
-    pub(crate) fn merge(&self, reports: Vec<CrashReport>, now: UnixMs) -> Merged {
-        let mut news = reports;
-        let before: Vec<_> = news.iter().map(|r| self.standing(r.request, now)).collect();
-        let requests: Vec<_> = news.iter().map(|report| report.request).collect();
+    /// Merges reports and voids the crashes of requests that completed here recently.
+    pub(crate) fn merge(&self, reports: Vec<CrashReport>, now: UnixMs) -> MergeOutcome {
+        let mut new_reports = reports;
+        let before: Vec<_> =
+            new_reports.iter().map(|r| self.standing(r.request, now)).collect();
+        let requests: Vec<_> = new_reports.iter().map(|report| report.request).collect();
         {
             let mut ledger = self.ledger.lock().unwrap();
-            news.retain(|report| ledger.merge(*report, now));
+            new_reports.retain(|report| ledger.merge(*report, now));
         }
-        let voided = self.void_crashes_of_served(&news, now);
+        let voided = self.void_crashes_of_served(&new_reports, now);
         let mut quarantined: Vec<_> = requests
             .into_iter()
             .zip(before)
@@ -83,10 +85,10 @@
             })
             .collect();
         quarantined.dedup();
-        Merged { news, voided, quarantined }
+        MergeOutcome { new_reports, voided, quarantined }
     }
 
-    /// Records that a request ran to its end; returns the crashes that are void now.
+    /// Records that a request completed; returns the crashes that this voids.
     pub(crate) fn record_served(
         &self,
         request: RequestKey,
@@ -115,7 +117,7 @@
         self.ledger.lock().unwrap().is_quarantine_pending(request, now)
     }
 
-    /// Returns the notices that a sidecar gets as it connects.
+    /// Returns the notices that are sent to a sidecar when it connects.
     pub(crate) fn notices(&self, now: UnixMs) -> Vec<CrashNotice> {
         let reports = self.ledger.lock().unwrap().reports_on_suspects(now);
         CrashNotice::of(&reports).collect()
--- a/crates/bilberry-gateway/src/listed.rs
+++ b/crates/bilberry-gateway/src/listed.rs
@@ -1,4 +1,4 @@
-//! What the platform lists of an upstream.
+//! Listings of upstreams by the platform.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 /// An upstream as the platform lists it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Listed {
-    /// Its identity.
+    /// Its id.
     pub id: Name,
     /// Its service.
     pub pool: Name,
@@ -17,14 +17,14 @@
     pub address: SocketAddr,
     /// Its data centre.
     pub place: Name,
-    /// Requests that it runs at once.
+    /// The number of requests that it runs concurrently.
     pub slots: u64,
-    /// Whether it leaves.
+    /// Whether it is leaving: it completes its runs and takes no new ones.
     pub leaving: bool,
-    /// The models that it serves, with the versions of their weights.
+    /// The models that it serves, each with the version of its weights.
     pub models: Vec<(Name, u64)>,
     /// When it was first listed, as a position that grows with each new entry.
     pub listed_at: StorePosition,
-    /// Which of its starts this is, if it tells it.
+    /// Its incarnation, if it reports one.
     pub incarnation: Option<Incarnation>,
 }
--- a/crates/bilberry-gateway/src/metrics.rs
+++ b/crates/bilberry-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of an entry that forwards.
+//! Metrics of an entry that forwards requests.
 
 use std::sync::Mutex;
 
@@ -19,7 +19,7 @@
 /// The label of a counter of outcomes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabel {
-    /// What came of it.
+    /// The outcome.
     pub outcome: &'static str,
 }
 
@@ -33,31 +33,31 @@
     pub sends: Family<OutcomeLabel, Counter>,
     /// Runs that were in progress at an upstream when it crashed.
     pub crashed_runs: Counter,
-    /// Requests put in quarantine, as they crash servers.
+    /// Requests put in quarantine because they crash servers.
     pub quarantines: Counter,
-    /// Time until the first byte of an answer.
+    /// Time to the first byte of an answer.
     pub first_byte_seconds: Histogram,
-    /// Time that requests waited for an upstream with room.
+    /// Time that requests waited for an upstream with free capacity.
     pub wait_seconds: Histogram,
-    /// Streams that another upstream continued.
+    /// Streams that were resumed at another upstream.
     pub resumed: Counter,
-    /// Requests that were placed on weights older than the newest known.
+    /// Requests placed on weights older than the newest known version.
     pub placed_on_older_weights: Counter,
-    /// Upstreams that the list no longer names and that are still used.
+    /// Upstreams that are no longer listed but still in use.
     pub kept_upstreams: Gauge,
-    /// The configuration's version in force.
+    /// The version of the configuration in force.
     pub config_version: Gauge,
-    /// Questions to the platform's store for changes, by who was asked and the outcome.
+    /// Watch requests for changes of the platform's store, by recipient and outcome.
     pub watches: Family<OutcomeLabel, Counter>,
-    /// Engines at whose host no sidecar was ever heard.
+    /// Engines on hosts where no sidecar has ever been reached.
     pub engines_without_sidecar: Gauge,
     /// Whether this entry orders the weights of those engines, 0 or 1.
     pub holds_orders: Gauge,
-    /// Orders to those engines, by what they said.
+    /// Orders to those engines, by outcome.
     pub orders: Family<OutcomeLabel, Counter>,
-    /// Objects of the platform's store that were not understood.
+    /// Objects of the platform's store that could not be decoded.
     pub unreadable: UnreadableObjects,
-    /// Returns of the platform's store from an older copy.
+    /// Restores of the platform's store from an older copy.
     pub era_changes: EraChanges,
     /// Log lines that were dropped.
     pub dropped_lines: Counter,
@@ -137,12 +137,12 @@
         self.sends.get_or_create(&OutcomeLabel { outcome }).inc();
     }
 
-    /// Counts an order to an engine without a sidecar.
+    /// Counts the outcome of an order to an engine without a sidecar.
     pub fn count_order(&self, outcome: &'static str) {
         self.orders.get_or_create(&OutcomeLabel { outcome }).inc();
     }
 
-    /// Counts a question for changes of the store.
+    /// Counts a watch request for changes of the store.
     pub fn count_watch(&self, outcome: &'static str) {
         self.watches.get_or_create(&OutcomeLabel { outcome }).inc();
     }
--- a/crates/bilberry-gateway/src/policy.rs
+++ b/crates/bilberry-gateway/src/policy.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration as a running entry uses it.
+//! The operators' configuration in the form that a running entry uses.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,47 +7,47 @@
 use bilberry_core::Name;
 use bilberry_node::ClientTimes;
 
-/// One configuration, complete and checked.
+/// A complete and validated configuration.
 #[derive(Debug, Default)]
 pub struct Policy {
-    /// Its version; a higher one replaces it.
+    /// Its version; a configuration with a higher version replaces it.
     pub version: u64,
     /// The routes of each host, longest prefix first.
     pub routes: HashMap<Name, Vec<Arc<Route>>>,
-    /// The services that routes lead to.
+    /// The services that routes refer to.
     pub pools: HashMap<Name, Arc<Pool>>,
-    /// The customer of each key; `None` where requests need no key.
+    /// The customer of each API key; `None` if requests need no key.
     pub customers: Option<HashMap<Name, Arc<Customer>>>,
-    /// The bounds on callers.
+    /// The limits on callers.
     pub limits: CallerLimits,
 }
 
-/// How requests under one prefix are treated.
+/// The rules for requests under one path prefix.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
     /// Its name.
     pub name: Name,
-    /// The prefix of the path; it begins and ends with a slash.
+    /// The path prefix; it begins and ends with a slash.
     pub prefix: Name,
-    /// What may be repeated.
+    /// Whether requests may be repeated, and whether answers are streams.
     pub kind: CallKind,
-    /// The longest time that a caller is kept waiting.
+    /// The latest deadline of a request, measured from its arrival.
     pub timeout_ms: u64,
-    /// Within which time an answer earns its full worth.
+    /// The target time to the first byte; a later answer is worth less to its caller.
     pub target_ms: u64,
-    /// Its rank, 0 first.
+    /// Its priority; 0 is the highest.
     pub priority: u8,
-    /// The services, with their weights.
+    /// The services, with their traffic weights.
     pub targets: Vec<(Name, u32)>,
-    /// The most upstreams that one request may be sent to.
+    /// The largest number of times that one request may run.
     pub max_attempts: u32,
     /// Whether requests need no key.
     pub public: bool,
-    /// The longest pause between two events of an answer in time.
+    /// The longest time between two events for a stream to count as in time.
     pub gap_ms: Option<u64>,
 }
 
-/// What may be repeated.
+/// Whether requests may be repeated, and whether answers are event streams.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum CallKind {
     /// May run any number of times.
@@ -61,7 +61,7 @@
 }
 
 impl CallKind {
-    /// Reports whether a second run does no harm.
+    /// Reports whether a request may run more than once.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
@@ -72,39 +72,39 @@
     }
 }
 
-/// A service: upstreams that serve the same things.
+/// A service: a pool of equivalent upstreams.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Pool {
     /// Its name.
     pub name: Name,
-    /// What its engines can do; `None` for a plain service.
+    /// The properties of its engines; `None` for a plain service.
     pub engine: Option<EngineTerms>,
-    /// How a store of cached prompts is reached, if the service is one.
+    /// The settings of the prompt store, if the service is one.
     pub prompt_store: Option<PromptStoreTerms>,
 }
 
-/// A store of cached prompts.
+/// The settings of a store of cached prompts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PromptStoreTerms {
     /// Its address.
     pub address: SocketAddr,
-    /// Its data centre, if that is told.
+    /// Its data centre, if configured.
     pub place: Option<Name>,
-    /// How much its link carries, if that is told.
+    /// The capacity of its link, if configured.
     pub link_mbps: Option<f64>,
 }
 
-/// What the engines of a service can do.
+/// The properties of the engines of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineTerms {
-    /// The memory of each, in tokens.
+    /// The cache memory of one engine, in tokens.
     pub memory_tokens: u64,
-    /// Whether the memory of a running request can be copied to another engine as
-    /// it grows, so that the other one can go on with it.
+    /// Whether the memory of a running request can be copied to another engine as it
+    /// grows, so that the other engine can continue the request.
     pub keeps_backups: bool,
-    /// Whether they stop a run when asked to, and hand its memory to another engine.
+    /// Whether they can stop a run on request and transfer its memory to another engine.
     pub stops_runs: bool,
-    /// The size of one token of a cached prompt; zero if that is not told.
+    /// The size of one cached prompt token in bytes; zero if not configured.
     pub token_bytes: u64,
 }
 
@@ -113,26 +113,26 @@
 pub struct Customer {
     /// Its name.
     pub name: Name,
-    /// Its rank, which goes before the route's.
+    /// Its priority, which overrides the route's.
     pub priority: Option<u8>,
-    /// Whether it shares no cached prompt with others.
+    /// Whether its cached prompts are isolated from those of other customers.
     pub isolated: bool,
 }
 
-/// The bounds on callers.
+/// The limits on callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The largest head of a request.
+    /// The largest request header section.
     pub header_bytes: usize,
-    /// The largest body of a request.
+    /// The largest request body.
     pub body_bytes: usize,
-    /// How long a caller may take to send a head, and to rest between requests.
+    /// The timeouts for sending the headers of a request and between requests.
     pub times: ClientTimes,
 }
 
 impl Default for CallerLimits {
     fn default() -> Self {
-        // Used only until the operators' own bounds are in force.
+        // In force only until the operators' configuration is loaded.
         Self {
             header_bytes: 64 * 1024,
             body_bytes: 4 * 1024 * 1024,
@@ -154,7 +154,7 @@
         self.pools.values().filter_map(|pool| pool.prompt_store.as_ref())
     }
 
-    /// Returns how many tokens a second a store's link carries, if that is told.
+    /// Returns the capacity of a store's link in tokens per second, if configured.
     pub fn store_tokens_per_s(&self, store: &PromptStoreTerms) -> Option<f64> {
         let link_mbps = store.link_mbps?;
         let engines = self.pools.values().filter_map(|pool| pool.engine);
@@ -165,7 +165,7 @@
 }
 
 impl Route {
-    /// Returns the service that `draw`, a random number, falls on.
+    /// Chooses a service by weight, with `draw` as the random number.
     pub fn target(&self, draw: u64) -> Option<&Name> {
         let total: u64 = self.targets.iter().map(|&(_, weight)| u64::from(weight)).sum();
         let mut left = draw % total.max(1);
--- a/crates/bilberry-gateway/src/weights.rs
+++ b/crates/bilberry-gateway/src/weights.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of the weights that were named.
+//! The versions of model weights known to an entry.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -8,17 +8,17 @@
 use bilberry_core::UnixMs;
 use tokio::sync::Notify;
 
-/// The weights of each model that are known to exist.
+/// The known versions of each model's weights.
 #[derive(Debug, Default)]
 pub struct KnownWeights {
     by_model: Mutex<HashMap<Name, NamedWeights>>,
-    /// Notified when a new version is noted.
+    /// Notified when a new version becomes known.
     pub(crate) changed: Notify,
 }
 
 impl KnownWeights {
-    /// Notes a version that may have been named from `since` on; returns whether it
-    /// is new.
+    /// Records a version that may have been announced as early as `since`; returns
+    /// whether it is new.
     pub fn note(&self, model: &Name, version: u64, since: UnixMs) -> bool {
         let mut by_model = self.by_model.lock().unwrap();
         let is_new = by_model.entry(model.clone()).or_default().note(version, since);
@@ -34,10 +34,10 @@
         by_model.get(model)?.newest().map(|(version, _)| version)
     }
 
-    /// Returns for how long an upstream with this version has lacked newer weights;
-    /// `None` if it lacks none.
+    /// Returns for how long an upstream with this version has lacked newer weights, or
+    /// `None` if its weights are the newest.
     ///
-    /// One whose version is unknown may lack all that were ever named.
+    /// An unknown version is treated as older than all that were announced.
     pub fn lacking_ms(
         &self,
         model: &str,
