--- a/crates/bilberry-gateway/examples/prompt_keys.rs
+++ b/crates/bilberry-gateway/examples/prompt_keys.rs
@@ -1,8 +1,8 @@
-//! Measures what it takes to compare a prompt with all engines of a service.
+//! Measures the cost of comparing a prompt with all engines of a service.
 //!
 //! Run it with `cargo run --release --example prompt_keys -p bilberry-gateway`.
-//! It compares hashing the salt for each part at each engine with keys that are
-//! computed once for the request.
+//! Compares hashing the salt for each part and engine with computing the keys once per
+//! request.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -15,16 +15,16 @@
 use bilberry_gateway::PromptPart;
 use bilberry_gateway::Upstream;
 
-/// The engines of a service: those of today's two users, and many.
+/// The numbers of engines: those of the two current deployments, and a large one.
 const ENGINES: [u16; 3] = [9, 20, 200];
 
-/// How often each way is measured; the median is shown.
+/// The number of measurements of each variant; the median is printed.
 const ROUNDS: usize = 51;
 
-/// How many requests are compared in one round.
+/// The number of requests in one round.
 const REQUESTS: u32 = 1_000;
 
-/// What an isolated customer's prompts are kept apart by.
+/// The salt of an isolated customer's prompts.
 const SALT: &str = "only-brand-identity/mark-writer/17";
 
 /// The shared parts of a prompt: style notes and a client's brief.
--- a/crates/bilberry-gateway/src/feeds.rs
+++ b/crates/bilberry-gateway/src/feeds.rs
@@ -1,4 +1,4 @@
-//! Listening to the sidecars of upstreams.
+//! Connections to the sidecars of upstreams, over which sidecars report state.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -32,23 +32,24 @@
 use crate::Upstream;
 use crate::connections::set_options;
 use crate::hubs::HubQuestion;
-use crate::hubs::QUESTIONS_AHEAD;
+use crate::hubs::QUESTION_QUEUE_CAPACITY;
 use crate::upstreams::UpstreamsByPool;
 
-/// How often the set of sidecars is compared with the list.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+/// The interval at which the set of feeds is reconciled with the listed upstreams.
+const RECONCILE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a connection to a sidecar may take.
-const CONNECT: Duration = Duration::from_millis(300);
+/// The timeout of a connection attempt to a sidecar.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a sidecar may be silent; it repeats itself three times as often.
-const SILENCE: Duration = Duration::from_millis(1_500);
+/// How long a sidecar may send nothing; it repeats its state three times as often.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How many notices for one sidecar may wait; more are left to the engine's events.
-const NOTICES_AHEAD: usize = 64;
+/// The capacity of the queue of notices to one sidecar. Notices beyond it are dropped,
+/// as the engine's own events report the same later.
+const NOTICE_QUEUE_CAPACITY: usize = 64;
 
-/// How long a lost sidecar is left alone.
-const PAUSE: Duration = Duration::from_millis(300);
+/// The delay before reconnecting to a sidecar.
+const RECONNECT_DELAY: Duration = Duration::from_millis(300);
 
 /// Keeps a connection to the sidecar of each engine, for as long as it is listed.
 pub async fn follow_sidecars<D: Dialect, C: Clock>(
@@ -65,7 +66,7 @@
             reconcile_feeds(&mut feeds, &gateway, &current.0, sidecar_port);
             previous = Some(current);
         }
-        sleep(LOOK_EVERY).await;
+        sleep(RECONCILE_INTERVAL).await;
     }
 }
 
@@ -80,18 +81,18 @@
     by_pool: &UpstreamsByPool,
     sidecar_port: u16,
 ) {
-    let place = |upstream: &Arc<Upstream>| {
+    let feed_key = |upstream: &Arc<Upstream>| {
         let address = SocketAddr::new(upstream.address.ip(), sidecar_port);
         (upstream.id.clone(), address)
     };
     let upstreams = || by_pool.values().flat_map(|pool| pool.iter());
-    let listed: HashSet<_> = upstreams().map(place).collect();
-    for (_, feed) in feeds.extract_if(|followed, _| !listed.contains(followed)) {
+    let listed: HashSet<_> = upstreams().map(feed_key).collect();
+    for (_, feed) in feeds.extract_if(|key, _| !listed.contains(key)) {
         feed.abort();
     }
     for upstream in upstreams().filter(|upstream| gateway.is_engine(upstream)) {
-        feeds.entry(place(upstream)).or_insert_with_key(|(id, address)| {
-            tokio::spawn(follow(gateway.clone(), id.clone(), *address))
+        feeds.entry(feed_key(upstream)).or_insert_with_key(|(id, address)| {
+            tokio::spawn(maintain_feed(gateway.clone(), id.clone(), *address))
         });
     }
 }
@@ -105,67 +106,70 @@
     Arc::ptr_eq(&before.0, &after.0) && policy(before) == policy(after)
 }
 
-async fn follow<D: Dialect, C: Clock>(
+/// Connects to a sidecar and reconnects whenever the connection ends.
+async fn maintain_feed<D: Dialect, C: Clock>(
     gateway: Arc<Gateway<D, C>>,
     id: Name,
     address: SocketAddr,
 ) {
-    let mut told = false;
+    let mut has_received_state = false;
     loop {
-        let outcome = listen(&gateway, &id, address, &mut told).await;
+        let outcome = run_feed(&gateway, &id, address, &mut has_received_state).await;
         if let Some(upstream) = gateway.upstreams.get(&id) {
-            upstream.forget_feed();
-            if told && outcome.as_ref().is_err_and(is_silence) {
-                upstream.doubt();
+            upstream.clear_feed();
+            if has_received_state && outcome.as_ref().is_err_and(is_timeout) {
+                upstream.mark_unresponsive();
             }
         }
         gateway.stores.forget_reporter(&id, &[]);
-        if std::mem::take(&mut told) {
+        if std::mem::take(&mut has_received_state) {
             let reason =
                 outcome.err().map_or_else(String::new, |error| error.to_string());
             log::info!(target: "sidecar", upstream = id.as_str(), reason = reason.as_str(); "lost");
         }
-        sleep(PAUSE).await;
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
-/// Reports whether a connection was given up as nothing came, rather than ended.
-fn is_silence(error: &WireError) -> bool {
+/// Reports whether a connection timed out, rather than being closed.
+fn is_timeout(error: &WireError) -> bool {
     matches!(error, WireError::Io(error) if error.kind() == ErrorKind::TimedOut)
 }
 
-async fn listen<D: Dialect, C: Clock>(
+/// Exchanges messages with a sidecar until the connection ends or the upstream is
+/// unlisted.
+async fn run_feed<D: Dialect, C: Clock>(
     gateway: &Gateway<D, C>,
     id: &Name,
     address: SocketAddr,
-    told: &mut bool,
+    has_received_state: &mut bool,
 ) -> Result<(), WireError> {
-    let late = |_| std::io::Error::from(std::io::ErrorKind::TimedOut);
-    let connecting = timeout(CONNECT, TcpStream::connect(address));
-    let connected = connecting.await.map_err(late)?;
+    let timed_out = |_| std::io::Error::from(std::io::ErrorKind::TimedOut);
+    let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
+    let connected = connecting.await.map_err(timed_out)?;
     gateway.sidecars.note(address.ip(), &connected, gateway.clock.now());
     let stream = connected?;
     set_options(&stream);
     let mut framed = Framed::new(stream, FrameCodec::new());
-    let (queue, mut queued) = mpsc::channel(NOTICES_AHEAD);
-    let (questions, mut to_ask) = mpsc::channel(QUESTIONS_AHEAD);
-    let mut asked = Asked::default();
-    let mut joined = None;
-    let mut noticed = None;
+    let (queue, mut queued) = mpsc::channel(NOTICE_QUEUE_CAPACITY);
+    let (questions, mut queued_questions) = mpsc::channel(QUESTION_QUEUE_CAPACITY);
+    let mut pending = PendingQuestions::default();
+    let mut registration = None;
+    let mut last_notice = None;
     let mut summaries = gateway.subscribe_to_pool_summaries();
-    let mut silent_at = Instant::now() + SILENCE;
-    let mut followed: Option<Arc<Upstream>> = None;
-    // A sidecar that started again knows of no crash.
+    let mut deadline = Instant::now() + IDLE_TIMEOUT;
+    let mut current: Option<Arc<Upstream>> = None;
+    // Crash reports are replayed, as a sidecar that has restarted knows of none.
     for notice in gateway.crashes.notices(gateway.clock.now()) {
         let body = Some(Body::CrashNotice(notice));
         framed.send(Frame { body, ..Frame::default() }).await?;
     }
     loop {
-        // Looked up each time, as another incarnation may have taken its place.
+        // Looked up each time, as another incarnation may have replaced it.
         let Some(upstream) = gateway.upstreams.get(id) else { return Ok(()) };
-        if followed.as_ref().is_none_or(|before| !Arc::ptr_eq(before, &upstream)) {
-            let before = followed.replace(upstream.clone());
-            if before.is_some_and(|before| was_listed_anew(&before, &upstream)) {
+        if current.as_ref().is_none_or(|before| !Arc::ptr_eq(before, &upstream)) {
+            let before = current.replace(upstream.clone());
+            if before.is_some_and(|before| is_same_incarnation(&before, &upstream)) {
                 return Ok(());
             }
             upstream.set_sidecar_queue(queue.clone());
@@ -176,15 +180,15 @@
                 let summaries = summaries.borrow_and_update();
                 summaries.get(&upstream.pool).map(|summary| summary.notice(&upstream))
             };
-            if let Some(notice) = notice.filter(|n| noticed.as_ref() != Some(n)) {
+            if let Some(notice) = notice.filter(|n| last_notice.as_ref() != Some(n)) {
                 gateway.stores.forget_reporter(id, &notice.prompt_stores);
                 let body = Some(Body::EntryNotice(notice.clone()));
                 framed.send(Frame { body, ..Frame::default() }).await?;
-                noticed = Some(notice);
+                last_notice = Some(notice);
             }
         }
         let frame = tokio::select! {
-            frame = timeout_at(silent_at, framed.next()) => frame.map_err(late)?,
+            frame = timeout_at(deadline, framed.next()) => frame.map_err(timed_out)?,
             _ = summaries.changed() => {
                 // `changed` marks the value as seen, but the notice is yet to be built.
                 summaries.mark_changed();
@@ -194,12 +198,12 @@
                 framed.send(Frame { body, ..Frame::default() }).await?;
                 continue;
             }
-            Some(question) = to_ask.recv() => {
-                framed.send(asked.put(question)).await?;
+            Some(question) = queued_questions.recv() => {
+                framed.send(pending.register(question)).await?;
                 continue;
             }
         };
-        silent_at = Instant::now() + SILENCE;
+        deadline = Instant::now() + IDLE_TIMEOUT;
         let Some(frame) = frame else { return Ok(()) };
         let Frame { call, body, .. } = frame?;
         let state = match body {
@@ -217,54 +221,55 @@
                 None
             }
             Some(Body::WatchAnswer(answer)) => {
-                asked.answer(call, answer);
+                pending.resolve(call, answer);
                 None
             }
             _ => None,
         };
         if let Some(state) = state {
-            if !std::mem::replace(told, true) {
+            if !std::mem::replace(has_received_state, true) {
                 let address = address.to_string();
                 log::info!(target: "sidecar", upstream = id.as_str(), address = address.as_str(); "heard");
             }
             gateway.hear(id, state);
-            joined.get_or_insert_with(|| {
-                gateway.hubs.join(address, &upstream, questions.clone())
+            registration.get_or_insert_with(|| {
+                gateway.hubs.register(address, &upstream, questions.clone())
             });
         }
     }
 }
 
-/// The questions that a sidecar has yet to answer.
+/// The questions that a sidecar has not answered yet, by call id.
 #[derive(Debug, Default)]
-struct Asked {
+struct PendingQuestions {
     last_call: u64,
-    waiting: HashMap<u64, oneshot::Sender<WatchAnswer>>,
+    replies: HashMap<u64, oneshot::Sender<WatchAnswer>>,
 }
 
-impl Asked {
-    /// Notes a question; returns the frame that asks it.
-    fn put(&mut self, question: HubQuestion) -> Frame {
-        // Whoever asked may have given up meanwhile.
-        self.waiting.retain(|_, reply| !reply.is_closed());
+impl PendingQuestions {
+    /// Registers a question and returns the frame that sends it.
+    fn register(&mut self, question: HubQuestion) -> Frame {
+        // Questions whose senders have given up are dropped.
+        self.replies.retain(|_, reply| !reply.is_closed());
         self.last_call += 1;
-        self.waiting.insert(self.last_call, question.reply);
+        self.replies.insert(self.last_call, question.reply);
         let body = Some(Body::WatchAsk(question.ask));
         Frame { call: self.last_call, body, ..Frame::default() }
     }
 
-    /// Hands an answer to who asked.
-    fn answer(&mut self, call: u64, answer: WatchAnswer) {
-        if let Some(reply) = self.waiting.remove(&call) {
+    /// Passes an answer to the sender of its question.
+    fn resolve(&mut self, call: u64, answer: WatchAnswer) {
+        if let Some(reply) = self.replies.remove(&call) {
             let _ = reply.send(answer);
         }
     }
 }
 
-/// Reports whether two values of an upstream have the same incarnation, which means
-/// that it was briefly unlisted and then listed again.
+/// Reports whether two values of an upstream have the same incarnation, which means that
+/// it was briefly unlisted and then listed again.
 ///
-/// What its cache holds was told before; only a new connection tells it all again.
-fn was_listed_anew(before: &Upstream, upstream: &Upstream) -> bool {
+/// The feed then has to reconnect, as the sidecar reports the full contents of the cache
+/// only at the start of a connection.
+fn is_same_incarnation(before: &Upstream, upstream: &Upstream) -> bool {
     before.incarnation() == upstream.incarnation()
 }
--- a/crates/bilberry-gateway/src/hubs.rs
+++ b/crates/bilberry-gateway/src/hubs.rs
@@ -1,4 +1,4 @@
-//! The sidecars that could watch the platform's store for this entry.
+//! Sidecars that can watch the platform's store on behalf of this entry.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,58 +19,59 @@
 use crate::Gateway;
 use crate::Upstream;
 
-/// How many questions for one sidecar may wait to be sent; an entry follows three kinds.
-pub(crate) const QUESTIONS_AHEAD: usize = 8;
+/// The capacity of the queue of questions to one sidecar; an entry watches three kinds of
+/// objects.
+pub(crate) const QUESTION_QUEUE_CAPACITY: usize = 8;
 
-/// The sidecars that are heard, each with the way to ask it.
+/// The connected sidecars, each with its queue of questions.
 #[derive(Debug, Default)]
 pub struct Hubs {
     links: Mutex<HashMap<SocketAddr, HubLink>>,
 }
 
-/// A sidecar that is heard.
+/// A connected sidecar.
 #[derive(Debug)]
 struct HubLink {
     candidate: HubCandidate,
     questions: mpsc::Sender<HubQuestion>,
 }
 
-/// A question on its way to a sidecar.
+/// A question to a sidecar and the channel for its answer.
 #[derive(Debug)]
 pub(crate) struct HubQuestion {
     pub(crate) ask: WatchAsk,
     pub(crate) reply: oneshot::Sender<WatchAnswer>,
 }
 
-/// Keeps a sidecar among those that could be asked, for as long as it is heard.
-pub(crate) struct Joined<'a> {
+/// The registration of a connected sidecar, which is removed on drop.
+pub(crate) struct HubRegistration<'a> {
     hubs: &'a Hubs,
     address: SocketAddr,
 }
 
-/// What came of asking a hub.
+/// The outcome of a question to a hub.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HubReply {
     /// The hub's answer.
     Answer(WatchAnswer),
-    /// It did not answer in time, or was lost.
+    /// The hub did not answer in time, or its connection was lost.
     Silent,
-    /// Nobody watches for this entry.
+    /// No sidecar is chosen to watch for this entry.
     NoHub,
 }
 
 impl Hubs {
-    /// Notes that the sidecar at `address` is heard.
-    pub(crate) fn join(
+    /// Registers the connected sidecar at `address`.
+    pub(crate) fn register(
         &self,
         address: SocketAddr,
         upstream: &Upstream,
         questions: mpsc::Sender<HubQuestion>,
-    ) -> Joined<'_> {
+    ) -> HubRegistration<'_> {
         let candidate =
             HubCandidate { place: upstream.place.clone(), seed: upstream.seed };
         self.links.lock().unwrap().insert(address, HubLink { candidate, questions });
-        Joined { hubs: self, address }
+        HubRegistration { hubs: self, address }
     }
 
     fn choose(&self, place: &Name, entries: usize) -> Option<mpsc::Sender<HubQuestion>> {
@@ -81,14 +82,15 @@
     }
 }
 
-impl Drop for Joined<'_> {
+impl Drop for HubRegistration<'_> {
     fn drop(&mut self) {
         self.hubs.links.lock().unwrap().remove(&self.address);
     }
 }
 
 impl<D: Dialect, C: Clock> Gateway<D, C> {
-    /// Asks the sidecar that watches the store for this data centre's entries.
+    /// Sends a question to the sidecar that watches the store for this data centre's
+    /// entries.
     pub async fn ask_hub(&self, ask: WatchAsk, until: UnixMs) -> HubReply {
         let entries = self.entries.lock().unwrap().get().unwrap_or_default();
         let Some(questions) = self.hubs.choose(&self.settings.place, entries) else {
--- a/crates/bilberry-gateway/src/pool_summary.rs
+++ b/crates/bilberry-gateway/src/pool_summary.rs
@@ -118,9 +118,10 @@
 
     /// Notes the newest weights that any upstream of a service runs.
     ///
-    /// Weights that an upstream runs have been named, even if this entry was not told.
+    /// Weights that an upstream runs have been announced, even if the announcement has
+    /// not reached this entry.
     fn note_weights_seen(&self, pool: &Name, model: &Name, now: UnixMs) {
-        let Some(version) = self.upstreams.newest_told(pool, model, now) else {
+        let Some(version) = self.upstreams.newest_reported(pool, model, now) else {
             return;
         };
         if self.weights.note(model, version, now) {
@@ -138,9 +139,9 @@
     stores: &[Arc<PromptStore>],
     now: UnixMs,
 ) -> BTreeMap<String, u64> {
-    let heard = upstreams.iter();
-    let heard = heard.filter(|peer| peer.is_followed(now) && !peer.is_leaving());
-    let seeds: Vec<u64> = heard.map(|peer| peer.seed).collect();
+    let eligible = upstreams.iter();
+    let eligible = eligible.filter(|peer| peer.is_followed(now) && !peer.is_leaving());
+    let seeds: Vec<u64> = eligible.map(|peer| peer.seed).collect();
     let followers = stores.iter().filter_map(|store| {
         let at = home(store.seed, &seeds)?;
         Some((store.terms.address.to_string(), seeds[at]))
--- a/crates/bilberry-gateway/src/unattended.rs
+++ b/crates/bilberry-gateway/src/unattended.rs
@@ -1,4 +1,4 @@
-//! Which engines have no sidecar beside them.
+//! Detection of engines without a sidecar on their host.
 
 use std::collections::HashMap;
 use std::io;
@@ -15,49 +15,52 @@
 use crate::Gateway;
 use crate::Upstream;
 
-/// What connecting to sidecars has shown of their hosts.
+/// Whether hosts have a sidecar, as observed from connection attempts.
 #[derive(Debug, Default)]
 pub struct SidecarSigns {
-    by_host: Mutex<HashMap<IpAddr, Sign>>,
+    by_host: Mutex<HashMap<IpAddr, SidecarPresence>>,
 }
 
 /// Whether a host has a sidecar.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
-enum Sign {
-    /// Nothing listens there, and nothing ever did as long as this process runs.
+enum SidecarPresence {
+    /// Connections have been refused since then, and none has succeeded since this
+    /// process started.
     RefusesSince(UnixMs),
-    /// One has taken a connection.
-    Heard,
+    /// A connection has succeeded.
+    Seen,
 }
 
 impl SidecarSigns {
-    /// Notes how a connection to the sidecar of a host came out.
+    /// Records the result of a connection attempt to the sidecar of a host.
     ///
-    /// One that hangs says nothing: the host may be cut off or stand still.
+    /// A timeout is ignored, as the host may be partitioned or suspended.
     pub fn note<T>(&self, host: IpAddr, connected: &io::Result<T>, now: UnixMs) {
         let mut by_host = self.by_host.lock().unwrap();
         match connected {
             Ok(_) => {
-                by_host.insert(host, Sign::Heard);
+                by_host.insert(host, SidecarPresence::Seen);
             }
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
-                by_host.entry(host).or_insert(Sign::RefusesSince(now));
+                by_host.entry(host).or_insert(SidecarPresence::RefusesSince(now));
             }
             Err(_) => {}
         }
     }
 
-    /// Reports whether a host has refused connections for `lasting_ms` and never taken
-    /// one.
+    /// Reports whether a host has refused connections for at least `lasting_ms` and never
+    /// accepted one.
     pub fn lacks_sidecar(&self, host: IpAddr, lasting_ms: u64, now: UnixMs) -> bool {
         match self.by_host.lock().unwrap().get(&host) {
-            Some(Sign::RefusesSince(since)) => now.ms_since(*since) >= lasting_ms,
-            Some(Sign::Heard) | None => false,
+            Some(SidecarPresence::RefusesSince(since)) => {
+                now.ms_since(*since) >= lasting_ms
+            }
+            Some(SidecarPresence::Seen) | None => false,
         }
     }
 }
 
-/// An engine that lacks weights and has no sidecar to order them.
+/// An engine that lacks a version of its weights and has no sidecar to order it.
 #[derive(Debug, Clone)]
 pub struct Unattended {
     /// The engine.
@@ -66,9 +69,9 @@
     pub model: Name,
     /// The version to load.
     pub version: u64,
-    /// When the first weights were named that it lacks.
+    /// When the oldest version that it lacks was announced.
     pub lacking_since: UnixMs,
-    /// Its place among the servers of its service.
+    /// Its position among the servers of its service.
     pub place: RolloutPlace,
 }
 
@@ -80,8 +83,8 @@
         pool.is_some_and(|pool| pool.engine.is_some())
     }
 
-    /// Returns the engines at whose host no sidecar was ever heard, and whose port for
-    /// one has refused connections for `lasting_ms`.
+    /// Returns the engines on hosts where no sidecar has ever accepted a connection and
+    /// the sidecar port has refused connections for at least `lasting_ms`.
     pub fn engines_without_sidecar(&self, lasting_ms: u64) -> Vec<Arc<Upstream>> {
         let now = self.clock.now();
         let lacks = |upstream: &Arc<Upstream>| {
@@ -93,7 +96,8 @@
         self.upstreams.all().into_iter().filter(lacks).collect()
     }
 
-    /// Returns what one of these engines lacks, if it lacks any weights.
+    /// Returns the first model of which an engine without a sidecar lacks the newest
+    /// weights.
     pub fn lacking(&self, upstream: &Arc<Upstream>) -> Option<Unattended> {
         let now = self.clock.now();
         let lacking = |(model, version): (Name, u64)| {
@@ -109,10 +113,10 @@
         upstream.models(now).into_iter().find_map(lacking)
     }
 
-    /// Returns the place of an upstream among the servers of its service.
+    /// Returns the position of an upstream among the servers of its service.
     ///
-    /// Ordered by hash, as the order of addresses would take all servers of one data
-    /// centre away at once.
+    /// Ordered by hash: in address order, a rollout would take all servers of one data
+    /// centre out of service at once.
     pub(crate) fn rollout_place(&self, upstream: &Upstream) -> RolloutPlace {
         let now = self.clock.now();
         let peers = self.upstreams.of(&upstream.pool);
--- a/crates/bilberry-gateway/src/upstream.rs
+++ b/crates/bilberry-gateway/src/upstream.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of one upstream at this moment.
+//! The current knowledge of an entry about one upstream.
 
 mod live;
 pub(crate) mod seat;
@@ -28,63 +28,64 @@
 use crate::ServerStatus;
 use crate::upstream::live::Live;
 
-/// For how long a part counts as held after it was read or used there.
+/// How long a part counts as held after it was prefilled or used there.
 ///
-/// Some cache events never arrive. A part whose end was not told would else count
-/// as held for ever, and every fetch of it would go to the one upstream that does
-/// not have it. A fetch in vain costs a millisecond, a part that is read anew some
-/// hundred: 0.005 of the callers' worth more than with 6 s, and 0.010 more than with
-/// 3 s, mean of twelve paired plays of crashes and new weights on three deployments.
-const HELD_MS: u64 = 12_000;
-
-/// How many parts of one upstream are remembered before those out of date are cleared
-/// away.
+/// Some cache events are lost. Without an expiry, a part whose eviction was not
+/// reported would count as held forever, and every fetch of it would go to an upstream
+/// that does not have it. A failed fetch costs one millisecond, prefilling a part again
+/// a few hundred. The value for callers is 0.005 higher than with 6 s and 0.010 higher
+/// than with 3 s (mean of twelve paired simulations of crashes and new weights on three
+/// deployments).
+const PART_TTL_MS: u64 = 12_000;
+
+/// The number of recorded parts of one upstream above which expired ones are pruned.
 ///
-/// An engine of today caches some hundred shared parts, and some events that end one
-/// never arrive; without this, an entry that runs for weeks would remember them all.
-const CLEAR_PARTS_ABOVE: usize = 4_000;
+/// Engines currently cache a few hundred shared parts, and some eviction events are lost;
+/// without pruning, the parts would accumulate in an entry that runs for weeks.
+const PART_PRUNE_THRESHOLD: usize = 4_000;
 
-/// How long an upstream is left alone after its first failure.
+/// The backoff after the first failure of an upstream.
 ///
-/// About the time in which a crash shows on the sidecar's feed as well.
-const FIRST_SUSPICION_MS: u64 = 250;
+/// About the time in which the sidecar's feed reports a crash as well.
+const INITIAL_BACKOFF_MS: u64 = 250;
 
-/// The longest time for which an upstream is left alone between two trials.
-const MOST_SUSPICION_MS: u64 = 2_000;
+/// The longest backoff between two attempts at a failing upstream.
+const MAX_BACKOFF_MS: u64 = 2_000;
 
-/// The longest pause that an upstream may ask for.
+/// The longest pause that an upstream may request.
 ///
-/// One that asks for more most likely has the unit wrong; one request an hour shows it.
+/// A longer one is most likely given in the wrong unit; the one request per hour that is
+/// then sent reveals the mistake.
 const MAX_PAUSE_MS: u64 = 3_600_000;
 
-/// How many requests a plain server may have from one entry for each slot.
+/// The number of requests per slot that one entry sends to a plain server.
 ///
-/// Two let a short queue keep every slot busy; more would only wait.
+/// With two, a short queue keeps every slot busy; more would only wait.
 const PLAIN_REQUESTS_PER_SLOT: u64 = 2;
 
-/// The version of weights that are not there; those that are count from 1.
+/// The version that stands for missing weights; versions of actual weights start at 1.
 const NO_WEIGHTS: u64 = 0;
 
-/// Reports whether a part that is held from `since` on still counts as held.
+/// Reports whether a part recorded as held from `since` on counts as held at `now`.
 fn is_held(since: UnixMs, now: UnixMs) -> bool {
-    since.has_passed_at(now) && now.ms_since(since) < HELD_MS
+    since.has_passed_at(now) && now.ms_since(since) < PART_TTL_MS
 }
 
-/// Clears away parts that no longer count as held, once there are many.
-fn clear_stale(parts: &mut HashMap<u64, UnixMs>, now: UnixMs) {
-    if parts.len() > CLEAR_PARTS_ABOVE {
-        parts.retain(|_, since| now.ms_since(*since) < HELD_MS);
+/// Removes expired parts once the number of parts exceeds the threshold.
+fn prune_expired(parts: &mut HashMap<u64, UnixMs>, now: UnixMs) {
+    if parts.len() > PART_PRUNE_THRESHOLD {
+        parts.retain(|_, since| now.ms_since(*since) < PART_TTL_MS);
     }
 }
 
-/// One incarnation of an upstream and what is known of it.
+/// One incarnation of an upstream and its state.
 ///
-/// Where it starts again under its identity another value takes its place, so that
-/// seats, failures, weights, cached parts and leaving of the earlier start count no
-/// more, and requests that still hold this one can tell.
+/// When the upstream restarts under the same id, another value replaces this one. The
+/// seats, failures, weights, cached parts and leaving state of the earlier incarnation
+/// then no longer count, and requests that still refer to it can detect the restart.
 #[derive(Debug)]
 pub struct Upstream {
-    /// Its identity.
+    /// Its id.
     pub id: Name,
     /// Its service.
     pub pool: Name,
@@ -92,7 +93,7 @@
     pub address: SocketAddr,
     /// Its data centre.
     pub place: Name,
-    /// A hash of its identity.
+    /// A hash of its address.
     pub seed: u64,
     /// When it was first listed, as a position that grows with each new entry.
     pub listed_at: StorePosition,
@@ -104,7 +105,7 @@
 }
 
 impl Upstream {
-    /// Creates an upstream that nothing but the list is known of.
+    /// Creates an upstream of which only its listing is known.
     pub fn new(listed: &Listed) -> Self {
         let live = Live::new(listed);
         Self {
@@ -112,8 +113,8 @@
             pool: listed.pool.clone(),
             address: listed.address,
             place: listed.place.clone(),
-            // The address, not the identity: a server that restarts keeps its
-            // share of prompts, and its neighbours keep theirs.
+            // Hashes the address instead of the id, so that a restarted server keeps its
+            // share of the prompts and the other servers keep theirs.
             seed: xxh3_64(listed.address.to_string().as_bytes()),
             listed_at: listed.listed_at,
             live: Mutex::new(live),
@@ -124,13 +125,13 @@
         }
     }
 
-    /// Sets what to notify when it starts leaving, goes down or comes back, when the feed
-    /// from its sidecar starts or is lost, or when its models change.
+    /// Sets the notification for when it starts leaving, goes down or comes back, when
+    /// the feed from its sidecar starts or is lost, or when its models change.
     pub(crate) fn set_status_notify(&mut self, status_changed: Arc<Notify>) {
         self.status_changed = status_changed;
     }
 
-    /// Takes over what the list says now.
+    /// Applies a new listing of this incarnation.
     pub fn update(&self, listed: &Listed) {
         let mut live = self.live.lock().unwrap();
         live.slots = listed.slots;
@@ -143,7 +144,7 @@
         live.listed_models = listed.models.clone();
     }
 
-    /// Takes no new work from now on.
+    /// Marks it as leaving; it gets no new work.
     pub fn leave(&self) {
         self.live.lock().unwrap().leaving = true;
         self.status_changed.notify_one();
@@ -157,15 +158,15 @@
         self.status_changed.notify_one();
     }
 
-    /// Reports whether it has announced its shutdown in an answer.
+    /// Reports whether it has announced its shutdown.
     pub fn has_announced_leaving(&self) -> bool {
         self.live.lock().unwrap().announced_leaving
     }
 
-    /// Notes that it has started again: this incarnation is over.
+    /// Marks this incarnation as ended by a restart.
     ///
-    /// What still runs there is lost, and takes no new work. A stream that its engine
-    /// left without closing the connection would else be waited for.
+    /// Its runs are lost, and it gets no new work. Without this, requests would wait for
+    /// streams whose engine has restarted without closing the connection.
     pub fn end(&self) {
         let mut live = self.live.lock().unwrap();
         live.leaving = true;
@@ -174,35 +175,36 @@
         self.status_changed.notify_one();
     }
 
-    /// Reports whether it has started again since.
+    /// Reports whether the upstream has restarted since.
     pub fn has_ended(&self) -> bool {
         self.live.lock().unwrap().ended
     }
 
-    /// Returns which of its starts this is, if that is known.
+    /// Returns the incarnation, if known.
     pub fn incarnation(&self) -> Option<Incarnation> {
         self.live.lock().unwrap().incarnation
     }
 
-    /// Returns the upstream as its sidecar first tells of its next incarnation.
+    /// Creates the next incarnation from the first state that its sidecar reports.
     ///
-    /// The list still speaks of this one, so its weights and its leaving are not
-    /// taken over. A model of which the sidecar tells no weights yet has none: what
-    /// is meant for it is refused there, and never runs on whatever it loads.
+    /// The list still describes this incarnation, so its weights and leaving state are
+    /// not carried over. A model whose weights the sidecar does not report yet has
+    /// none, so that requests for it are refused there instead of running on whatever
+    /// weights it loads.
     ///
-    /// A sidecar can't say whether its engine kept its identity, so this start is
-    /// tried with one request at a time until it has answered or is listed. One that
-    /// came back under another identity refuses all; offered its free slots at once,
-    /// it would use up the repeats of many requests.
+    /// A sidecar does not know whether its engine kept its id, so the new incarnation
+    /// gets one request at a time until it has answered or is listed. An engine that
+    /// came back under another id refuses all requests; if all its slots were offered
+    /// at once, it would use up the retries of many requests.
     pub fn next_incarnation(&self, state: &UpstreamState) -> Self {
-        let told = |name: &Name| {
+        let reported_version = |name: &Name| {
             let found = state.models.iter().find(|found| found.model == *name);
             found.map_or(NO_WEIGHTS, |found| found.version)
         };
         let (slots, models) = {
             let live = self.live.lock().unwrap();
             let models = live.listed_models.iter();
-            let models = models.map(|(name, _)| (name.clone(), told(name)));
+            let models = models.map(|(name, _)| (name.clone(), reported_version(name)));
             (live.slots, models.collect())
         };
         let next = Self::new(&Listed {
@@ -220,7 +222,7 @@
         next
     }
 
-    /// Takes over what the sidecar says of this incarnation.
+    /// Applies a state of this incarnation that the sidecar reports.
     pub fn feed(&self, state: UpstreamState, now: UnixMs) {
         let mut live = self.live.lock().unwrap();
         if live.ended {
@@ -233,23 +235,23 @@
         });
         if state.up && live.feed.as_ref().is_none_or(|(old, _)| !old.up) {
             live.failures = 0;
-            live.suspect_until = UnixMs(0);
+            live.backoff_until = UnixMs(0);
         }
         let was_leaving = live.leaving;
-        // The identity on the list outlives the server by some heartbeats. What
-        // answers at its address meanwhile is another one, which refuses what is
-        // meant for the first. Where the start is told, it says which one answers;
-        // the epoch of the cache, asked for apart, may lag behind it.
+        // A listing outlives its server by some heartbeats. Meanwhile another server
+        // may answer at its address, and it refuses requests meant for the first. If
+        // the state includes the start time, it identifies the server. The cache epoch
+        // is queried separately and may lag behind the start time.
         match state.cache_epoch {
             _ if state.born_ms.is_some() => live.incarnation = state.incarnation(),
             0 => {}
-            told if live.cache_epoch == 0 => live.cache_epoch = told,
-            told => live.leaving |= told != live.cache_epoch,
+            epoch if live.cache_epoch == 0 => live.cache_epoch = epoch,
+            epoch => live.leaving |= epoch != live.cache_epoch,
         }
         live.leaving |= state.leaving;
         live.announced_leaving |= state.leaving;
-        live.seems_gone = !state.up;
-        live.doubtful = false;
+        live.seems_down = !state.up;
+        live.unresponsive = false;
         live.loads_at = state.loads_in_ms.map(|in_ms| now.plus_ms(in_ms));
         live.sent_since_feed = 0;
         live.tokens_since_feed = 0;
@@ -262,7 +264,7 @@
         live.feed = Some((state, now));
     }
 
-    /// Takes over a change of its cache.
+    /// Applies a change of its cache.
     pub fn cache_change(&self, change: &CacheChange, now: UnixMs) {
         let mut parts = self.parts.lock().unwrap();
         if change.reset {
@@ -272,48 +274,50 @@
             parts.remove(key);
         });
         parts.extend(change.added.iter().map(|&key| (key, now)));
-        clear_stale(&mut parts, now);
+        prune_expired(&mut parts, now);
     }
 
-    /// Returns how many parts are remembered, those out of date included.
-    pub fn remembered_parts(&self) -> usize {
+    /// Returns the number of recorded parts, including expired ones.
+    pub fn part_count(&self) -> usize {
         self.parts.lock().unwrap().len()
     }
 
-    /// Notes that it holds a part from `since` on, before its sidecar says so.
+    /// Records that it holds a part from `since` on, before its sidecar reports the part.
     pub fn expect_part(&self, key: u64, since: UnixMs) {
         self.parts.lock().unwrap().insert(key, since);
     }
 
-    /// Notes that it should have read a part by `done_by`, unless it holds it.
+    /// Records that it is expected to hold a part from `done_by` on, unless it holds
+    /// the part already.
     pub fn expect_reading(&self, key: u64, done_by: UnixMs, now: UnixMs) {
         let mut parts = self.parts.lock().unwrap();
         let since = parts.entry(key).or_insert(done_by);
         if !is_held(*since, now) {
             *since = done_by;
         }
-        clear_stale(&mut parts, now);
+        prune_expired(&mut parts, now);
     }
 
-    /// Reports whether it holds a part that others may rely on.
+    /// Reports whether it holds a part that other engines may fetch.
     ///
-    /// A fetch from an engine that is gone holds up its request for some hundred
-    /// milliseconds, so what an engine holds does not count once it seems to be gone.
+    /// A fetch from a dead engine delays its request by a few hundred milliseconds, so
+    /// the parts of an engine that seems down do not count.
     pub fn holds(&self, key: u64, now: UnixMs) -> bool {
-        if self.live.lock().unwrap().seems_gone {
+        if self.live.lock().unwrap().seems_down {
             return false;
         }
         let parts = self.parts.lock().unwrap();
         parts.get(&key).is_some_and(|since| is_held(*since, now))
     }
 
-    /// Forgets what the sidecar said of the moment, as it no longer answers.
+    /// Discards the state from the sidecar after its connection is lost.
     ///
-    /// What the engine holds is kept until a send to it fails. An engine goes on
-    /// without its sidecar; with its parts forgotten too, its prompts were read anew
-    /// elsewhere: under full load, with sidecars that end again and again, 0.08 of the
-    /// callers' worth is left, and 0.19 with this, mean of four plays.
-    pub fn forget_feed(&self) {
+    /// The engine's parts still count until a send to it fails, as an engine keeps
+    /// running without its sidecar. When its parts were discarded too, its prompts were
+    /// prefilled again at other engines: under full load with sidecars that end
+    /// repeatedly, 0.08 of the value for callers remained, compared with 0.19 now (mean
+    /// of four simulations).
+    pub fn clear_feed(&self) {
         let mut live = self.live.lock().unwrap();
         if live.feed.take().is_some() {
             self.status_changed.notify_one();
@@ -325,15 +329,16 @@
         self.lost.send_if_modified(|lost| std::mem::replace(lost, false));
     }
 
-    /// Notes that its sidecar fell silent while the connection stayed open.
+    /// Records that its sidecar stopped sending while the connection stayed open.
     ///
-    /// A host that stands still looks so, and each request sent there waits with it until
-    /// its caller leaves. One request at a time shows whether the engine still answers.
-    pub fn doubt(&self) {
-        self.live.lock().unwrap().doubtful = true;
+    /// This is also how a suspended host appears, and each request sent to one waits
+    /// until its caller leaves. One request at a time is enough to detect whether the
+    /// engine still answers.
+    pub fn mark_unresponsive(&self) {
+        self.live.lock().unwrap().unresponsive = true;
     }
 
-    /// Records what one of its answers says of it.
+    /// Applies the status in one of its answers.
     pub fn record_status(&self, status: &ServerStatus, now: UnixMs) {
         let mut live = self.live.lock().unwrap();
         live.load = status.load.or(live.load);
@@ -350,53 +355,53 @@
         }
     }
 
-    /// Notes that the upstream answered.
+    /// Records that the upstream answered.
     pub fn note_answer(&self) {
         let mut live = self.live.lock().unwrap();
         live.confirmed = true;
-        live.doubtful = false;
+        live.unresponsive = false;
         live.failures = 0;
-        live.suspect_until = UnixMs(0);
-        live.seems_gone = false;
+        live.backoff_until = UnixMs(0);
+        live.seems_down = false;
     }
 
-    /// Notes that the upstream gave no answer, and leaves it alone for a while.
+    /// Records that the upstream gave no answer, and backs off.
     pub fn record_failure(&self, now: UnixMs) {
         let mut live = self.live.lock().unwrap();
-        let pause_ms = FIRST_SUSPICION_MS << live.failures.min(3);
+        let pause_ms = INITIAL_BACKOFF_MS << live.failures.min(3);
         live.failures += 1;
-        live.seems_gone = true;
-        live.suspect_until = now.plus_ms(pause_ms.min(MOST_SUSPICION_MS));
+        live.seems_down = true;
+        live.backoff_until = now.plus_ms(pause_ms.min(MAX_BACKOFF_MS));
     }
 
-    /// Leaves the upstream alone for `pause_ms`, as it said that it is full.
+    /// Backs off for `pause_ms` after the upstream answered that it is full.
     pub fn record_busy(&self, now: UnixMs, pause_ms: u64) {
         let mut live = self.live.lock().unwrap();
-        live.suspect_until = live.suspect_until.max(now.plus_ms(pause_ms));
+        live.backoff_until = live.backoff_until.max(now.plus_ms(pause_ms));
     }
 
-    /// Returns the version of a model's weights, from the freshest source.
+    /// Returns the version of a model's weights from the most recent source.
     pub fn weights(&self, model: &str, now: UnixMs) -> Option<u64> {
         let live = self.live.lock().unwrap();
         let listed = live.listed_models.iter().find(|(name, _)| name == model);
         let listed = listed.map(|&(_, version)| version);
-        // Versions only grow within one incarnation, so the higher of both is the
-        // newer word.
-        live.told_weights(model, now).max(listed)
+        // Versions only increase within one incarnation, so the higher one is the more
+        // recent.
+        live.reported_weights(model, now).max(listed)
     }
 
-    /// Returns the version of a model's weights that its sidecar tells of.
-    pub fn told_weights(&self, model: &str, now: UnixMs) -> Option<u64> {
-        self.live.lock().unwrap().told_weights(model, now)
+    /// Returns the version of a model's weights that its sidecar reports.
+    pub fn reported_weights(&self, model: &str, now: UnixMs) -> Option<u64> {
+        self.live.lock().unwrap().reported_weights(model, now)
     }
 
     /// Returns the models that the list or its sidecar names, possibly with duplicates.
     pub(crate) fn model_names(&self, now: UnixMs) -> Vec<Name> {
         let live = self.live.lock().unwrap();
-        let told = live.fresh_feed(now).map_or(&[][..], |state| &state.models);
-        let told = told.iter().map(|found| Name::from(found.model.as_str()));
+        let reported = live.fresh_feed(now).map_or(&[][..], |state| &state.models);
+        let reported = reported.iter().map(|found| Name::from(found.model.as_str()));
         let listed = live.listed_models.iter().map(|(name, _)| name.clone());
-        listed.chain(told).collect()
+        listed.chain(reported).collect()
     }
 
     /// Returns all models with the versions of their weights.
@@ -409,13 +414,13 @@
         names.into_iter().map(|name| (name.clone(), version(&name))).collect()
     }
 
-    /// Returns how many entries its sidecar sees, if that is known.
+    /// Returns how many entries are connected to its sidecar, if known.
     pub fn entries_seen(&self, now: UnixMs) -> Option<usize> {
         let live = self.live.lock().unwrap();
         live.fresh_feed(now).map(|state| state.entries as usize)
     }
 
-    /// Returns how it stands as a place for new work.
+    /// Returns its capacity and eligibility for new work.
     pub fn offer(
         &self,
         now: UnixMs,
@@ -429,7 +434,7 @@
             (None, Some(load)) if engine.is_none() => (load.running, load.waiting),
             (None, _) => (0, 0),
         };
-        // What this entry sent after the sidecar's last word is not in it yet.
+        // The sidecar's last state does not include requests that were sent after it.
         let (unseen, unseen_tokens) = match feed {
             Some(_) => (live.sent_since_feed, live.tokens_since_feed),
             None => (0, 0),
@@ -460,21 +465,21 @@
         }
     }
 
-    /// Reports whether its sidecar says that it is down.
+    /// Reports whether it is leaving or its sidecar reports it as down.
     pub fn is_down(&self, now: UnixMs) -> bool {
         self.live.lock().unwrap().is_down(now)
     }
 
-    /// Reports whether it may have other weights by `until`, as its sidecar tells.
+    /// Reports whether it may have other weights by `until`, according to its sidecar.
     ///
-    /// One that is down may come back with any.
+    /// An upstream that is down may come back with any weights.
     pub fn may_load_by(&self, until: UnixMs, now: UnixMs) -> bool {
         let live = self.live.lock().unwrap();
         let loads = live.loads_at.is_some_and(|loads_at| loads_at <= until);
         live.fresh_feed(now).is_some_and(|state| !state.up || state.loading || loads)
     }
 
-    /// Reports whether it lives, as far as its sidecar and the last send say.
+    /// Reports whether it is alive according to its sidecar and the last send.
     pub fn lives(&self, now: UnixMs) -> bool {
         let live = self.live.lock().unwrap();
         !live.is_down(now) && live.failures == 0
@@ -491,7 +496,7 @@
         queue.as_ref().is_some_and(|queue| queue.try_send(message).is_ok())
     }
 
-    /// Returns what its sidecar reports of it.
+    /// Returns whether its sidecar reports it as up or down, or does not report.
     pub fn sidecar_status(&self, now: UnixMs) -> SidecarStatus {
         match self.live.lock().unwrap().fresh_feed(now) {
             Some(state) if state.up => SidecarStatus::Up,
@@ -500,23 +505,23 @@
         }
     }
 
-    /// Reports whether its sidecar spoke lately.
+    /// Reports whether a current state from its sidecar is known.
     pub fn is_followed(&self, now: UnixMs) -> bool {
         self.live.lock().unwrap().fresh_feed(now).is_some()
     }
 
-    /// Returns until when it has asked for no requests, if that is still to come.
+    /// Returns until when it has asked for no requests, if that time is in the future.
     pub fn paused_until(&self, now: UnixMs) -> Option<UnixMs> {
         let until = self.live.lock().unwrap().paused_until;
         (!until.has_passed_at(now)).then_some(until)
     }
 
-    /// Reports whether it leaves.
+    /// Reports whether it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.live.lock().unwrap().leaving
     }
 
-    /// Returns once its sidecar says that the upstream is gone.
+    /// Waits until its sidecar reports it as down or a later incarnation replaces it.
     pub async fn lost(&self) {
         let mut lost = self.lost.subscribe();
         if lost.wait_for(|&lost| lost).await.is_err() {
--- a/crates/bilberry-gateway/src/upstream/live.rs
+++ b/crates/bilberry-gateway/src/upstream/live.rs
@@ -1,4 +1,4 @@
-//! What changes about one incarnation of an upstream.
+//! The mutable state of one incarnation of an upstream.
 
 use bilberry_core::Incarnation;
 use bilberry_core::Name;
@@ -8,21 +8,21 @@
 use crate::Listed;
 use crate::ServerLoad;
 
-/// How long a sidecar's word counts; it repeats itself three times as often.
+/// How long a state from a sidecar is current; sidecars repeat it three times as often.
 const FEED_FRESH_MS: u64 = 1_500;
 
-/// What the list, the sidecar and answers say of an upstream, and what this entry has
-/// sent to it.
+/// The state of an upstream from the list, its sidecar and its answers, and the requests
+/// that this entry has sent to it.
 #[derive(Debug)]
 pub(super) struct Live {
     pub(super) slots: u64,
     pub(super) leaving: bool,
-    /// Whether one of its answers says that it leaves.
+    /// Whether it has announced its shutdown.
     pub(super) announced_leaving: bool,
-    /// Whether it has started again since, so that this is over.
+    /// Whether a later incarnation has replaced it.
     pub(super) ended: bool,
     pub(super) incarnation: Option<Incarnation>,
-    /// Whether the list names this start, or it has answered under its identity.
+    /// Whether the list names this start, or the upstream has answered under its id.
     pub(super) confirmed: bool,
     pub(super) listed_models: Vec<(Name, u64)>,
     pub(super) feed: Option<(UpstreamState, UnixMs)>,
@@ -35,20 +35,21 @@
     pub(super) pending_tokens: u64,
     pub(super) reserved_tokens: u64,
     pub(super) failures: u32,
-    pub(super) suspect_until: UnixMs,
-    /// Until when it has asked for no requests; only time ends that.
+    /// Until when it gets no requests after a failure or a refusal as busy.
+    pub(super) backoff_until: UnixMs,
+    /// Until when it has asked for no requests; no later answer or state ends this pause.
     pub(super) paused_until: UnixMs,
-    /// Whether its sidecar or the last send says that it is gone.
-    pub(super) seems_gone: bool,
-    /// Whether its sidecar fell silent on an open connection, and neither was heard
-    /// since.
-    pub(super) doubtful: bool,
-    /// The requests in progress that were sent there in doubt.
-    pub(super) trials: u64,
+    /// Whether its sidecar or the last send indicates that it is down.
+    pub(super) seems_down: bool,
+    /// Whether its sidecar stopped sending on an open connection, and neither the sidecar
+    /// nor the upstream has responded since.
+    pub(super) unresponsive: bool,
+    /// The number of requests in progress that were sent while it was unresponsive.
+    pub(super) probes: u64,
 }
 
 impl Live {
-    /// Knows what the list says, and nothing else.
+    /// Creates the state of an upstream of which only its listing is known.
     pub(super) fn new(listed: &Listed) -> Self {
         Self {
             slots: listed.slots,
@@ -68,20 +69,22 @@
             pending_tokens: 0,
             reserved_tokens: 0,
             failures: 0,
-            suspect_until: UnixMs(0),
+            backoff_until: UnixMs(0),
             paused_until: UnixMs(0),
-            seems_gone: false,
-            doubtful: false,
-            trials: 0,
+            seems_down: false,
+            unresponsive: false,
+            probes: 0,
         }
     }
 
+    /// Returns the latest state from the sidecar while it is current.
     pub(super) fn fresh_feed(&self, now: UnixMs) -> Option<&UpstreamState> {
         let fresh = |at: UnixMs| now.ms_since(at) < FEED_FRESH_MS;
         self.feed.as_ref().filter(|(_, at)| fresh(*at)).map(|(state, _)| state)
     }
 
-    pub(super) fn told_weights(&self, model: &str, now: UnixMs) -> Option<u64> {
+    /// Returns the version of a model's weights that the sidecar reports.
+    pub(super) fn reported_weights(&self, model: &str, now: UnixMs) -> Option<u64> {
         let models = &self.fresh_feed(now)?.models;
         models.iter().find(|found| found.model == model).map(|found| found.version)
     }
@@ -91,11 +94,12 @@
     }
 
     pub(super) fn is_eligible(&self, now: UnixMs) -> bool {
-        let fed = self.fresh_feed(now).is_none_or(|state| state.up && !state.loading);
+        let is_serving =
+            self.fresh_feed(now).is_none_or(|state| state.up && !state.loading);
         let is_free = self.confirmed || self.in_progress == 0;
-        let is_free = is_free && (!self.doubtful || self.trials == 0);
+        let is_free = is_free && (!self.unresponsive || self.probes == 0);
         let is_paused = !self.paused_until.has_passed_at(now);
-        let is_suspect = !self.suspect_until.has_passed_at(now);
-        fed && is_free && !self.leaving && !is_paused && !is_suspect
+        let backs_off = !self.backoff_until.has_passed_at(now);
+        is_serving && is_free && !self.leaving && !is_paused && !backs_off
     }
 }
--- a/crates/bilberry-gateway/src/upstream/seat.rs
+++ b/crates/bilberry-gateway/src/upstream/seat.rs
@@ -1,4 +1,4 @@
-//! What a request takes up at an upstream while it is there.
+//! The resources that a request reserves at an upstream.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 
 use crate::Upstream;
 
-/// A request's seat at an upstream; given back when dropped.
+/// A request's reservation of a slot and memory at an upstream, released on drop.
 #[derive(Debug)]
 pub struct Seat {
     /// The upstream.
@@ -14,12 +14,13 @@
     memory_tokens: u64,
     pending_tokens: u64,
     pending_tokens_ahead: u64,
-    is_trial: bool,
+    is_probe: bool,
     freed: Arc<Notify>,
 }
 
 impl Seat {
-    /// Takes a seat for a request of this size.
+    /// Reserves a slot and `memory_tokens` of memory for a request with
+    /// `pending_tokens` to prefill.
     pub fn take(
         upstream: Arc<Upstream>,
         memory_tokens: u64,
@@ -33,26 +34,26 @@
         live.tokens_since_feed += memory_tokens;
         live.reserved_tokens += memory_tokens;
         live.pending_tokens += pending_tokens;
-        let is_trial = live.doubtful;
-        live.trials += u64::from(is_trial);
+        let is_probe = live.unresponsive;
+        live.probes += u64::from(is_probe);
         drop(live);
         Self {
             upstream,
             memory_tokens,
             pending_tokens,
             pending_tokens_ahead,
-            is_trial,
+            is_probe,
             freed,
         }
     }
 
-    /// Returns how many tokens its upstream had to read before, as far as this entry
-    /// sent them.
+    /// Returns how many tokens of this entry's earlier requests its upstream still had to
+    /// prefill when the seat was taken.
     pub fn pending_tokens_ahead(&self) -> u64 {
         self.pending_tokens_ahead
     }
 
-    /// Notes that the prompt has been read.
+    /// Records that the prompt has been prefilled.
     pub fn prompt_is_read(&mut self) {
         let pending = std::mem::take(&mut self.pending_tokens);
         self.upstream.live.lock().unwrap().pending_tokens -= pending;
@@ -65,7 +66,7 @@
         let mut live = self.upstream.live.lock().unwrap();
         live.in_progress -= 1;
         live.reserved_tokens -= self.memory_tokens;
-        live.trials -= u64::from(self.is_trial);
+        live.probes -= u64::from(self.is_probe);
         drop(live);
         self.freed.notify_waiters();
     }
--- a/crates/bilberry-gateway/src/upstreams.rs
+++ b/crates/bilberry-gateway/src/upstreams.rs
@@ -19,9 +19,9 @@
 use crate::Listed;
 use crate::Upstream;
 
-/// How many upstreams that announced their shutdown and are off the list are kept.
+/// The maximum number of unlisted upstreams whose announced shutdown is remembered.
 ///
-/// Far more than leave within the seconds in which a list can be out of date.
+/// Far more than leave within the seconds for which a list can be out of date.
 const MAX_ANNOUNCED: usize = 4_096;
 
 /// The upstreams of each service, in an order that all entries agree on.
@@ -32,54 +32,55 @@
 pub struct Upstreams {
     by_id: Mutex<HashMap<Name, Arc<Upstream>>>,
     by_pool: ArcSwap<UpstreamsByPool>,
-    unnamed: Mutex<Unnamed>,
-    /// Upstreams taken off the list that had announced their shutdown.
+    deferred: Mutex<DeferredListings>,
+    /// Unlisted upstreams that had announced their shutdown.
     announced: Mutex<HashMap<Name, Arc<Upstream>>>,
     listed: AtomicBool,
-    /// Told whenever an upstream may have room again.
+    /// Notified when an upstream may have free capacity again.
     pub changed: Arc<Notify>,
     /// Notified when an upstream is added or removed, starts leaving, goes down or comes
     /// back, when the feed from its sidecar starts or is lost, or when its models change.
     pub(crate) status_changed: Arc<Notify>,
 }
 
-/// Lines of the list that wait for a configuration to name their service.
+/// Listings that are deferred until a configuration names their service.
 #[derive(Debug, Default)]
-struct Unnamed {
+struct DeferredListings {
     named_pools: HashSet<Name>,
-    lines: HashMap<Name, Listed>,
+    by_id: HashMap<Name, Listed>,
 }
 
 impl Upstreams {
-    /// Takes over one line of the list; returns the incarnation that it ends, if any.
+    /// Applies a listing; returns the incarnation that it ends, if any.
     ///
-    /// It counts once a configuration names its service. Anybody may list a server
-    /// of a service that nobody knows; at the address of a server in use, it would
-    /// count as the later one there, and the server would get no more work.
+    /// The listing is deferred until a configuration names its service. Anyone may list
+    /// a server of an unknown service. If it had the address of a server in use, it
+    /// would count as the later one at that address, and the server would get no more
+    /// work.
     pub fn put(&self, listed: &Listed) -> Option<Arc<Upstream>> {
-        // Held throughout, so that a configuration that names the service meanwhile
-        // finds the line either held back or in use.
-        let mut unnamed = self.unnamed.lock().unwrap();
-        if unnamed.hold_back(listed) {
-            self.take_off(&listed.id);
+        // Locked throughout, so that a configuration that names the service concurrently
+        // finds the listing either deferred or in use.
+        let mut deferred = self.deferred.lock().unwrap();
+        if deferred.defer(listed) {
+            self.remove_by_id(&listed.id);
             return None;
         }
         self.put_named(listed)
     }
 
-    /// Takes over which services the configuration in force names.
+    /// Sets the services that the configuration in force names, and applies the deferred
+    /// listings of these services.
     pub fn name_pools(&self, pools: impl IntoIterator<Item = Name>) {
-        let mut unnamed = self.unnamed.lock().unwrap();
-        for listed in unnamed.name_pools(pools) {
-            // Held back until now, so no incarnation of it was in use.
+        let mut deferred = self.deferred.lock().unwrap();
+        for listed in deferred.release_named(pools) {
+            // Deferred until now, so no incarnation of it was in use.
             self.put_named(&listed);
         }
     }
 
-    /// Takes over a line whose service is named.
+    /// Applies a listing whose service is named.
     ///
-    /// A line of an earlier incarnation changes nothing: it was read slowly, or its
-    /// write was carried out late.
+    /// A listing of an earlier incarnation is ignored: it was read or written late.
     fn put_named(&self, listed: &Listed) -> Option<Arc<Upstream>> {
         let mut by_id = self.by_id.lock().unwrap();
         let known = by_id.get(&listed.id).cloned();
@@ -104,7 +105,7 @@
         ended
     }
 
-    /// Takes over what a sidecar says; returns the incarnation that it ends, if any.
+    /// Applies a state from a sidecar; returns the incarnation that it ends, if any.
     pub fn feed(
         &self,
         id: &str,
@@ -131,41 +132,41 @@
         ended
     }
 
-    /// Takes over a change of an upstream's cache; returns whether it counts.
+    /// Applies a change of an upstream's cache; returns whether it was applied.
     ///
-    /// A change of another incarnation than the present one does not.
+    /// A change of any other than the current incarnation is ignored.
     pub fn cache_change(&self, id: &str, change: &CacheChange, now: UnixMs) -> bool {
         let Some(known) = self.get(id) else { return false };
-        let told = Incarnation::compare(known.incarnation(), change.incarnation());
-        if told == Told::Same {
+        let order = Incarnation::compare(known.incarnation(), change.incarnation());
+        if order == Told::Same {
             known.cache_change(change, now);
         }
-        told == Told::Same
+        order == Told::Same
     }
 
-    /// Returns the present incarnation of an upstream.
+    /// Returns the current incarnation of an upstream.
     pub fn get(&self, id: &str) -> Option<Arc<Upstream>> {
         self.by_id.lock().unwrap().get(id).cloned()
     }
 
-    /// Takes an upstream off; requests in progress there go on.
+    /// Removes an upstream; its requests in progress continue.
     pub fn remove(&self, id: &str) {
-        self.unnamed.lock().unwrap().lines.remove(id);
-        self.take_off(id);
+        self.deferred.lock().unwrap().by_id.remove(id);
+        self.remove_by_id(id);
     }
 
-    fn take_off(&self, id: &str) {
+    fn remove_by_id(&self, id: &str) {
         let mut by_id = self.by_id.lock().unwrap();
         if let Some(gone) = by_id.remove(id) {
             gone.leave();
             self.publish(&by_id);
-            self.keep_announcement(gone);
+            self.remember_announcement(gone);
         }
     }
 
-    /// Keeps that an upstream has announced its shutdown, in case a list that does not
-    /// know of it yet names the upstream again.
-    fn keep_announcement(&self, gone: Arc<Upstream>) {
+    /// Remembers that a removed upstream has announced its shutdown, in case an
+    /// outdated list names it again.
+    fn remember_announcement(&self, gone: Arc<Upstream>) {
         if !gone.has_announced_leaving() {
             return;
         }
@@ -176,35 +177,35 @@
         announced.insert(gone.id.clone(), gone);
     }
 
-    /// Restores the announcement of an upstream that is listed again in the same start.
+    /// Restores the announcement of an upstream whose same incarnation is listed again.
     fn restore_announcement(&self, upstream: &Upstream) {
         let Some(before) = self.announced.lock().unwrap().remove(&upstream.id) else {
             return;
         };
-        let told = Incarnation::compare(before.incarnation(), upstream.incarnation());
-        if told == Told::Same && before.address == upstream.address {
+        let order = Incarnation::compare(before.incarnation(), upstream.incarnation());
+        if order == Told::Same && before.address == upstream.address {
             log::info!(target: "upstream", upstream = upstream.id.as_str(); "ignoring a listing of a server that announced its shutdown");
             upstream.announce_leaving();
         }
     }
 
-    /// Notes that the whole list has been read.
+    /// Records that the complete list has been read.
     pub fn note_listed(&self) {
         self.listed.store(true, Ordering::Relaxed);
         self.changed.notify_waiters();
     }
 
-    /// Reports whether the whole list has ever been read.
+    /// Reports whether the complete list has been read at least once.
     ///
-    /// Before that, a service without upstreams may well have some.
+    /// Before that, a service without known upstreams may still have some.
     pub fn is_listed(&self) -> bool {
         self.listed.load(Ordering::Relaxed)
     }
 
-    /// Returns the identities of all upstreams, of services not named too.
+    /// Returns the ids of all upstreams, including those with deferred listings.
     pub fn ids(&self) -> Vec<Name> {
         let mut ids: Vec<Name> = self.by_id.lock().unwrap().keys().cloned().collect();
-        ids.extend(self.unnamed.lock().unwrap().lines.keys().cloned());
+        ids.extend(self.deferred.lock().unwrap().by_id.keys().cloned());
         ids
     }
 
@@ -223,14 +224,17 @@
         self.by_id.lock().unwrap().values().cloned().collect()
     }
 
-    /// Returns the newest version of a model's weights that a sidecar tells of.
+    /// Returns the newest version of a model's weights that a sidecar reports.
     ///
-    /// Not what the list says: anybody may write there, and a version that was never
-    /// named would bar all that were.
-    pub fn newest_told(&self, pool: &str, model: &str, now: UnixMs) -> Option<u64> {
+    /// Ignores the list, which anyone may write to: a version there that was never
+    /// announced would block all announced ones.
+    pub fn newest_reported(&self, pool: &str, model: &str, now: UnixMs) -> Option<u64> {
         let by_pool = self.by_pool.load();
         let upstreams = by_pool.get(pool)?;
-        upstreams.iter().filter_map(|upstream| upstream.told_weights(model, now)).max()
+        upstreams
+            .iter()
+            .filter_map(|upstream| upstream.reported_weights(model, now))
+            .max()
     }
 
     fn insert(
@@ -262,57 +266,61 @@
     }
 }
 
-impl Unnamed {
-    /// Keeps a line for later if its service is not named; returns whether it did.
-    fn hold_back(&mut self, listed: &Listed) -> bool {
-        self.lines.remove(&listed.id);
+impl DeferredListings {
+    /// Defers a listing if its service is not named; returns whether it did.
+    fn defer(&mut self, listed: &Listed) -> bool {
+        self.by_id.remove(&listed.id);
         let is_named = self.named_pools.contains(&listed.pool);
         if !is_named {
-            self.lines.insert(listed.id.clone(), listed.clone());
+            self.by_id.insert(listed.id.clone(), listed.clone());
         }
         !is_named
     }
 
-    /// Takes over the named services; returns the lines that count from now on.
-    fn name_pools(&mut self, pools: impl IntoIterator<Item = Name>) -> Vec<Listed> {
+    /// Sets the named services; removes and returns the listings that are no longer
+    /// deferred.
+    fn release_named(&mut self, pools: impl IntoIterator<Item = Name>) -> Vec<Listed> {
         self.named_pools = pools.into_iter().collect();
         let named_pools = &self.named_pools;
-        let now_named = self.lines.extract_if(|_, line| named_pools.contains(&line.pool));
-        now_named.map(|(_, line)| line).collect()
+        let released =
+            self.by_id.extract_if(|_, listed| named_pools.contains(&listed.pool));
+        released.map(|(_, listed)| listed).collect()
     }
 }
 
-/// Reports whether a line is of the server that is known by its identity.
+/// Reports whether a listing has the address and service of the server known by its id.
 fn is_same(known: &Upstream, listed: &Listed) -> bool {
     known.address == listed.address && known.pool == listed.pool
 }
 
-/// Reports whether what is told is of a later incarnation than the known one.
+/// Reports whether a listed incarnation is later than the known one.
 ///
-/// The first word of when an upstream started counts as one: what was known before
-/// was written by somebody else, or by a server that has been replaced.
-fn is_later(known: &Upstream, told: Option<Incarnation>) -> bool {
+/// The first listing with a start time counts as later: the previous listing was
+/// written by another process, or by a server that has been replaced.
+fn is_later(known: &Upstream, listed: Option<Incarnation>) -> bool {
     match known.incarnation() {
-        None => told.is_some(),
-        known => Incarnation::compare(known, told) == Told::Newer,
+        None => listed.is_some(),
+        known => Incarnation::compare(known, listed) == Told::Newer,
     }
 }
 
-fn is_earlier(known: &Upstream, told: Option<Incarnation>) -> bool {
-    Incarnation::compare(known.incarnation(), told) == Told::Older
+/// Reports whether a listed incarnation is earlier than the known one.
+fn is_earlier(known: &Upstream, listed: Option<Incarnation>) -> bool {
+    Incarnation::compare(known.incarnation(), listed) == Told::Older
 }
 
-/// Gives no more work to an identity whose address has a later one.
+/// Marks an upstream as leaving if another one was started or listed later at its
+/// address.
 ///
-/// A crashed server stays on the list for some heartbeats after it has restarted
-/// at the same address, or after another service was given the address. Entries
-/// that had just restarted themselves sent to such identities until their few
-/// repeats were used up, and refused callers with half of the servers idle.
+/// A crashed server stays listed for some heartbeats after it has restarted at the same
+/// address under another id, or after another service was given the address. Before
+/// this check, entries that had just restarted themselves sent requests to such stale
+/// ids until the few retries were used up, and refused callers while half of the
+/// servers were idle.
 fn retire_older(by_id: &HashMap<Name, Arc<Upstream>>, new: &Arc<Upstream>) {
     let others = by_id.values().filter(|known| known.id != new.id);
     for known in others.filter(|known| known.address == new.address) {
-        let told = Incarnation::compare(known.incarnation(), new.incarnation());
-        match told {
+        match Incarnation::compare(known.incarnation(), new.incarnation()) {
             Told::Newer => known.leave(),
             Told::Older => new.leave(),
             Told::Same if known.listed_at < new.listed_at => known.leave(),
--- a/crates/bilberry-gateway/tests/incarnations.rs
+++ b/crates/bilberry-gateway/tests/incarnations.rs
@@ -100,11 +100,11 @@
         assert_eq!(present(&upstreams).weights(MODEL, NOW), Some(5));
         restarts(&upstreams, by_list);
         assert_eq!(present(&upstreams).weights(MODEL, NOW), Some(1));
-        present(&upstreams).forget_feed();
+        present(&upstreams).clear_feed();
         assert_eq!(present(&upstreams).weights(MODEL, NOW), Some(1));
-        assert_eq!(upstreams.newest_told("llm", MODEL, NOW), None);
+        assert_eq!(upstreams.newest_reported("llm", MODEL, NOW), None);
         upstreams.feed(ID, state(Some(2), 1), NOW);
-        assert_eq!(upstreams.newest_told("llm", MODEL, NOW), Some(1));
+        assert_eq!(upstreams.newest_reported("llm", MODEL, NOW), Some(1));
     }
 }
 
@@ -201,7 +201,7 @@
         let earlier = present(&upstreams);
         restarts(&upstreams, by_list);
         earlier.feed(state(Some(1), 5), NOW);
-        earlier.forget_feed();
+        earlier.clear_feed();
         let lost = timeout(Duration::from_millis(100), earlier.lost()).await;
         assert!(lost.is_ok() && earlier.is_leaving());
         let next = timeout(Duration::from_millis(10), present(&upstreams).lost()).await;
--- a/crates/bilberry-gateway/tests/knowledge.rs
+++ b/crates/bilberry-gateway/tests/knowledge.rs
@@ -116,7 +116,7 @@
         &CacheChange { reset: true, added: vec![7], ..CacheChange::default() },
         at(0),
     );
-    engine.forget_feed();
+    engine.clear_feed();
     assert!(engine.holds(7, at(100)));
     engine.record_failure(at(200));
     assert!(!engine.holds(7, at(200)));
@@ -138,7 +138,7 @@
     let engine = engine();
     assert!(engine.lives(at(0)));
     engine.feed(idle(), at(0));
-    engine.forget_feed();
+    engine.clear_feed();
     engine.record_busy(at(0), 60);
     assert!(engine.lives(at(10)));
     engine.record_failure(at(100));
@@ -163,8 +163,8 @@
     let seat = || Seat::take(engine.clone(), 10, 10, Arc::default());
     engine.feed(idle(), at(0));
     let before = seat();
-    engine.forget_feed();
-    engine.doubt();
+    engine.clear_feed();
+    engine.mark_unresponsive();
     assert!(usable(2_000), "what was sent before is no trial");
     let trial = seat();
     assert!(!usable(2_000));
@@ -173,7 +173,7 @@
     let _trial = seat();
     engine.note_answer();
     assert!(usable(4_000));
-    engine.doubt();
+    engine.mark_unresponsive();
     let _trial = seat();
     assert!(!usable(5_000));
     engine.feed(idle(), at(6_000));
@@ -193,7 +193,7 @@
         let told = CacheChange { added: vec![1_000_000 + key], ..CacheChange::default() };
         engine.cache_change(&told, now);
     }
-    assert!(engine.remembered_parts() < 8_000, "{}", engine.remembered_parts());
+    assert!(engine.part_count() < 8_000, "{}", engine.part_count());
     // What was told or is expected last is still known.
     assert!(engine.holds(1_099_999, at(1_000_000)));
     assert!(engine.holds(99_999, at(1_000_050)));
