--- a/crates/bilberry-gateway/tests/knowledge.rs
+++ b/crates/bilberry-gateway/tests/knowledge.rs
@@ -1,4 +1,4 @@
-//! What an entry learns from answers and from sidecars.
+//! Tests of the state that an entry derives from answers and from sidecars.
 
 use std::sync::Arc;
 
@@ -34,31 +34,31 @@
     })
 }
 
-/// What a sidecar says of an engine that is up and idle.
+/// Returns a sidecar's state of an engine that is up and idle.
 fn idle() -> UpstreamState {
     UpstreamState { up: true, total_tokens: 100_000, entries: 4, ..Default::default() }
 }
 
 #[test]
-fn the_pace_of_an_engine_follows_its_answers_and_no_single_one() {
+fn the_pace_of_an_engine_is_a_moving_average_of_its_answers() {
     let pace = Pace::default();
     let pool = Name::from("llm");
     let first_us = pace.token_us(&pool);
-    // One answer that was held up moves the mean by a sixteenth of the difference.
+    // One delayed answer moves the mean by a sixteenth of the difference.
     pace.note_answer(&pool, 10_000, 100);
     assert_eq!(pace.token_us(&pool), (first_us * 15 + 100_000) / 16);
     (0..200).for_each(|_| pace.note_answer(&pool, 1_200, 100));
     assert!((12_000..12_020).contains(&pace.token_us(&pool)), "{}", pace.token_us(&pool));
-    // A request that asks for nothing says nothing of the pace.
+    // An answer without tokens does not count.
     pace.note_answer(&pool, 5, 0);
     assert_eq!(pace.token_us("other"), first_us);
 }
 
 #[test]
-fn what_a_sidecar_tells_of_the_store_goes_before_what_was_given() {
-    // The store drops what was used least. While nobody tells, a part counts as
-    // kept for seconds after it was given; once a sidecar tells, it counts for as
-    // long as the store has it, and for the moment until the news can have come.
+fn reports_of_a_prompt_store_override_recorded_writes() {
+    // The store evicts the least recently used parts. Without a reporting sidecar, a part
+    // counts as kept for some seconds after it was written. With one, it counts while the
+    // store holds it, and for the short time until the report of a write can arrive.
     let kept = KeptParts::default();
     let writer = Name::from("engine-1");
     kept.record_write(&writer, 1, at(0));
@@ -67,7 +67,7 @@
     let held = CacheChange { reset: true, added: vec![2, 3], ..CacheChange::default() };
     kept.apply_report(&reporter, &held);
     assert!(kept.has(2, at(10_000)));
-    assert!(kept.has(1, at(100)), "the news may still be on its way");
+    assert!(kept.has(1, at(100)), "the report may still be in transit");
     assert!(!kept.has(1, at(10_000)));
     kept.apply_report(
         &reporter,
@@ -81,8 +81,8 @@
 
 #[test]
 fn a_prompt_is_held_up_to_its_first_missing_part() {
-    // Sidecars know parts by the same keys. A part counts only if all parts before
-    // it are held: an engine reads anew from the first one that it lacks.
+    // Sidecars use the same keys for parts. A part counts only if all parts before it are
+    // held, as an engine prefills again from the first missing part.
     let parts = [(7, 100), (8, 40), (9, 20)];
     let parts = parts.map(|(id, tokens)| PromptPart { id, tokens });
     let keys = PromptKeys::new("shared/m/1".to_string(), &parts);
@@ -105,11 +105,11 @@
 }
 
 #[test]
-fn what_an_engine_holds_outlives_its_sidecar_but_no_failed_send() {
-    // The sidecar of an engine falls silent while the engine works on. Callers that
-    // share a prompt still find it read there. Then the whole host loses power: the
-    // first send fails, and nobody is told to fetch from there any more, though the
-    // sidecar's last word says that the engine is up.
+fn cached_parts_count_after_the_loss_of_a_sidecar_until_a_send_fails() {
+    // The connection to an engine's sidecar is lost while the engine keeps running, so
+    // its cached parts still count. Then the host loses power and the first send fails:
+    // no request may fetch from there any more, although the sidecar's last state shows
+    // the engine as up.
     let engine = engine();
     engine.feed(idle(), at(0));
     engine.cache_change(
@@ -120,21 +120,22 @@
     assert!(engine.holds(7, at(100)));
     engine.record_failure(at(200));
     assert!(!engine.holds(7, at(200)));
-    // An answer says that it was not gone after all.
+    // A later answer shows that the engine is up.
     engine.note_answer();
     assert!(engine.holds(7, at(300)));
     engine.record_failure(at(400));
     engine.feed(idle(), at(500));
     assert!(engine.holds(7, at(500)));
-    // No event says when a part ends while nobody listens, so it runs out.
+    // Evictions are not reported without a connection, so parts expire.
     assert!(!engine.holds(7, at(60_000)));
 }
 
 #[test]
-fn an_engine_lives_until_a_send_fails_or_its_sidecar_says_that_it_is_down() {
-    // Callers are told to stay away for longer where nothing of a service lives. A
-    // silent sidecar alone says nothing of its engine, and neither does an engine that
-    // is full for a moment; a failed send counts until the next answer.
+fn an_engine_is_alive_until_a_send_fails_or_its_sidecar_reports_it_as_down() {
+    // Callers get a longer retry delay if no upstream of a service is alive. The loss
+    // of a sidecar's connection alone does not mean that its engine is down, and
+    // neither does a refusal of a busy engine; a failed send counts until the next
+    // answer.
     let engine = engine();
     assert!(engine.lives(at(0)));
     engine.feed(idle(), at(0));
@@ -154,10 +155,11 @@
 }
 
 #[test]
-fn an_engine_in_doubt_is_tried_with_one_request_at_a_time() {
-    // Callers are served by other engines. A host stands still: its sidecar says nothing
-    // on an open connection, and each request sent to its engine waits until its caller
-    // leaves. One of them is enough to find out; an answer or a word ends the doubt.
+fn an_unresponsive_engine_gets_one_request_at_a_time() {
+    // A host is suspended: its sidecar sends nothing on an open connection, and each
+    // request sent to its engine waits until its caller leaves. One request is enough
+    // to probe the engine; an answer, or a state from the sidecar, ends the
+    // restriction.
     let engine = Arc::new(engine());
     let usable = |now: u64| engine.offer(at(now), "a", None).usable;
     let seat = || Seat::take(engine.clone(), 10, 10, Arc::default());
@@ -165,16 +167,16 @@
     let before = seat();
     engine.clear_feed();
     engine.mark_unresponsive();
-    assert!(usable(2_000), "what was sent before is no trial");
-    let trial = seat();
+    assert!(usable(2_000), "requests sent before are not probes");
+    let probe = seat();
     assert!(!usable(2_000));
-    drop(trial);
-    assert!(usable(3_000), "the trial's caller has left");
-    let _trial = seat();
+    drop(probe);
+    assert!(usable(3_000), "the caller of the probe has left");
+    let _probe = seat();
     engine.note_answer();
     assert!(usable(4_000));
     engine.mark_unresponsive();
-    let _trial = seat();
+    let _probe = seat();
     assert!(!usable(5_000));
     engine.feed(idle(), at(6_000));
     assert!(usable(6_000));
@@ -182,19 +184,20 @@
 }
 
 #[test]
-fn an_entry_remembers_no_parts_for_ever() {
-    // An entry runs for weeks beside an engine whose events are lost now and then, and
-    // expects parts whose requests are given up before they are read. No word ever ends
-    // these parts; remembered for ever, they fill the host's memory and the entry ends.
+fn recorded_parts_are_pruned() {
+    // Guards against unbounded memory use in an entry that runs for weeks. Parts whose
+    // eviction events are lost, and expected parts whose requests are cancelled before
+    // the prefill, are never removed by an event.
     let engine = engine();
     for key in 0..100_000 {
         let now = at(key * 10);
         engine.expect_reading(key, now.plus_ms(50), now);
-        let told = CacheChange { added: vec![1_000_000 + key], ..CacheChange::default() };
-        engine.cache_change(&told, now);
+        let reported =
+            CacheChange { added: vec![1_000_000 + key], ..CacheChange::default() };
+        engine.cache_change(&reported, now);
     }
     assert!(engine.part_count() < 8_000, "{}", engine.part_count());
-    // What was told or is expected last is still known.
+    // The parts that were reported or expected last are still recorded.
     assert!(engine.holds(1_099_999, at(1_000_000)));
     assert!(engine.holds(99_999, at(1_000_050)));
 }
