--- a/crates/bilberry-gateway/src/pool_summary.rs
+++ b/crates/bilberry-gateway/src/pool_summary.rs
@@ -1,10 +1,10 @@
 //! Summaries of services, from which the notices to sidecars are built.
 //!
-//! Several hundred sidecars send a few messages per second each, and all of them send at
-//! once after a restart of the fleet. The summary of a service is therefore computed once
-//! for all its sidecars, and only when the list, a reported state, the named weights or
-//! the set of answering stores changes. The cost of any other message does not depend on
-//! the number of upstreams.
+//! Several hundred sidecars send a few messages per second each, and all of them send
+//! at once after a restart of the fleet. The summary of a service is therefore computed
+//! once for all its sidecars, and only when the list, a reported state, the announced
+//! weights or the set of answering stores changes. The cost of any other message does
+//! not depend on the number of upstreams.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Notes the newest weights that any upstream of a service runs.
+    /// Records the newest weights that any upstream of a service runs.
     ///
     /// Weights that an upstream runs have been announced, even if the announcement has
     /// not reached this entry.
--- a/crates/bilberry-gateway/src/prompt_stores.rs
+++ b/crates/bilberry-gateway/src/prompt_stores.rs
@@ -56,7 +56,7 @@
     /// keeps its state.
     pub fn name(&self, policy: &Policy) {
         let mut by_address = self.by_address.lock().unwrap();
-        let named = policy.prompt_stores().map(|terms| {
+        let configured = policy.prompt_stores().map(|terms| {
             let link_tokens_per_s = policy.store_tokens_per_s(terms);
             let known = by_address.get(&terms.address).filter(|known| {
                 known.terms == *terms && known.link_tokens_per_s == link_tokens_per_s
@@ -69,8 +69,8 @@
             });
             (terms.address, store)
         });
-        let named = named.collect();
-        *by_address = named;
+        let configured = configured.collect();
+        *by_address = configured;
         self.config_changed.notify_one();
         self.answering_changed.notify_one();
     }
--- a/crates/bilberry-gateway/src/readings.rs
+++ b/crates/bilberry-gateway/src/readings.rs
@@ -35,8 +35,8 @@
             return None;
         }
         let keys = job.keys(weights);
-        let kept = self.stores.home(job.affinity());
-        let kept_tokens = kept.map_or(0, |store| keys.kept_tokens(&store.kept, now));
+        let store = self.stores.home(job.affinity());
+        let kept_tokens = store.map_or(0, |store| keys.kept_tokens(&store.kept, now));
         let known_tokens = choice.held_tokens.max(kept_tokens);
         let (part, end) = keys.parts_after(known_tokens).next()?;
         let readings = self.readings.lock().unwrap();
--- a/crates/bilberry-gateway/src/store_watch.rs
+++ b/crates/bilberry-gateway/src/store_watch.rs
@@ -34,12 +34,12 @@
 pub async fn follow_prompt_stores<D: Dialect, C: Clock>(gateway: Arc<Gateway<D, C>>) {
     let mut monitors: Vec<StoreMonitor> = Vec::new();
     loop {
-        let named = gateway.stores.all();
-        let is_named = |store: &Arc<PromptStore>| {
-            named.iter().any(|named| Arc::ptr_eq(named, store))
+        let configured = gateway.stores.all();
+        let is_configured = |store: &Arc<PromptStore>| {
+            configured.iter().any(|other| Arc::ptr_eq(other, store))
         };
-        monitors.retain(|monitor| is_named(&monitor.store));
-        for store in &named {
+        monitors.retain(|monitor| is_configured(&monitor.store));
+        for store in &configured {
             if !monitors.iter().any(|monitor| Arc::ptr_eq(&monitor.store, store)) {
                 let task = tokio::spawn(monitor_store(store.clone()));
                 monitors.push(StoreMonitor { store: store.clone(), task });
--- a/crates/bilberry-gateway/src/unattended.rs
+++ b/crates/bilberry-gateway/src/unattended.rs
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Reports whether a host has refused connections for at least `lasting_ms` and never
-    /// accepted one.
-    pub fn lacks_sidecar(&self, host: IpAddr, lasting_ms: u64, now: UnixMs) -> bool {
+    /// Reports whether a host has refused connections for at least `min_refusal_ms` and
+    /// never accepted one.
+    pub fn lacks_sidecar(&self, host: IpAddr, min_refusal_ms: u64, now: UnixMs) -> bool {
         match self.by_host.lock().unwrap().get(&host) {
             Some(SidecarPresence::RefusesSince(since)) => {
-                now.ms_since(*since) >= lasting_ms
+                now.ms_since(*since) >= min_refusal_ms
             }
             Some(SidecarPresence::Seen) | None => false,
         }
@@ -84,13 +84,13 @@
     }
 
     /// Returns the engines on hosts where no sidecar has ever accepted a connection and
-    /// the sidecar port has refused connections for at least `lasting_ms`.
-    pub fn engines_without_sidecar(&self, lasting_ms: u64) -> Vec<Arc<Upstream>> {
+    /// the sidecar port has refused connections for at least `min_refusal_ms`.
+    pub fn engines_without_sidecar(&self, min_refusal_ms: u64) -> Vec<Arc<Upstream>> {
         let now = self.clock.now();
         let lacks = |upstream: &Arc<Upstream>| {
             let host = upstream.address.ip();
             !upstream.is_leaving()
-                && self.sidecars.lacks_sidecar(host, lasting_ms, now)
+                && self.sidecars.lacks_sidecar(host, min_refusal_ms, now)
                 && self.is_engine(upstream)
         };
         self.upstreams.all().into_iter().filter(lacks).collect()
--- a/crates/bilberry-gateway/src/upstream.rs
+++ b/crates/bilberry-gateway/src/upstream.rs
@@ -439,8 +439,8 @@
             Some(_) => (live.sent_since_feed, live.tokens_since_feed),
             None => (0, 0),
         };
-        let present = (running + queued + unseen).max(live.in_progress);
-        let room = match engine {
+        let in_progress = (running + queued + unseen).max(live.in_progress);
+        let capacity = match engine {
             Some(_) => live.slots,
             None => live.slots * PLAIN_REQUESTS_PER_SLOT,
         };
@@ -454,10 +454,10 @@
             seed: self.seed,
             usable: live.is_eligible(now),
             same_place: self.place == own_place,
-            free_slots: room.saturating_sub(present),
+            free_slots: capacity.saturating_sub(in_progress),
             free_tokens: total_tokens.map_or(u64::MAX, |t| t.saturating_sub(used_tokens)),
             pending_tokens: live.pending_tokens,
-            running: present,
+            running: in_progress,
             queued,
             weights: Weights::Fine,
             held_tokens: 0,
--- a/crates/bilberry-gateway/src/upstreams.rs
+++ b/crates/bilberry-gateway/src/upstreams.rs
@@ -157,24 +157,24 @@
 
     fn remove_by_id(&self, id: &str) {
         let mut by_id = self.by_id.lock().unwrap();
-        if let Some(gone) = by_id.remove(id) {
-            gone.leave();
+        if let Some(removed) = by_id.remove(id) {
+            removed.leave();
             self.publish(&by_id);
-            self.remember_announcement(gone);
+            self.remember_announcement(removed);
         }
     }
 
     /// Remembers that a removed upstream has announced its shutdown, in case an
     /// outdated list names it again.
-    fn remember_announcement(&self, gone: Arc<Upstream>) {
-        if !gone.has_announced_leaving() {
+    fn remember_announcement(&self, removed: Arc<Upstream>) {
+        if !removed.has_announced_leaving() {
             return;
         }
         let mut announced = self.announced.lock().unwrap();
         if announced.len() >= MAX_ANNOUNCED {
             announced.clear();
         }
-        announced.insert(gone.id.clone(), gone);
+        announced.insert(removed.id.clone(), removed);
     }
 
     /// Restores the announcement of an upstream whose same incarnation is listed again.
--- a/crates/bilberry-gateway/tests/knowledge.rs
+++ b/crates/bilberry-gateway/tests/knowledge.rs
@@ -86,20 +86,20 @@
     let parts = [(7, 100), (8, 40), (9, 20)];
     let parts = parts.map(|(id, tokens)| PromptPart { id, tokens });
     let keys = PromptKeys::new("shared/m/1".to_string(), &parts);
-    let named: Vec<u64> = parts.map(|part| part_key("shared/m/1", part.id)).to_vec();
-    assert_eq!(keys.keys().collect::<Vec<_>>(), named);
+    let part_keys: Vec<u64> = parts.map(|part| part_key("shared/m/1", part.id)).to_vec();
+    assert_eq!(keys.keys().collect::<Vec<_>>(), part_keys);
     let now = at(0);
     let upstream = engine();
     upstream.feed(idle(), now);
     let kept = KeptParts::default();
     assert_eq!(keys.held_tokens(&upstream, now), 0);
-    upstream.expect_part(named[0], now);
-    upstream.expect_part(named[2], now);
-    kept.record_write(&upstream.id, named[1], now);
+    upstream.expect_part(part_keys[0], now);
+    upstream.expect_part(part_keys[2], now);
+    kept.record_write(&upstream.id, part_keys[1], now);
     assert_eq!(keys.held_tokens(&upstream, now), 100);
     assert_eq!(keys.kept_tokens(&kept, now), 0);
-    upstream.expect_part(named[1], now);
-    kept.record_write(&upstream.id, named[0], now);
+    upstream.expect_part(part_keys[1], now);
+    kept.record_write(&upstream.id, part_keys[0], now);
     assert_eq!(keys.held_tokens(&upstream, now), 160);
     assert_eq!(keys.kept_tokens(&kept, now), 140);
 }
