--- a/crates/bilberry-gateway/src/known_crashes.rs
+++ b/crates/bilberry-gateway/src/known_crashes.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of crashes and of the requests that ran at crashed upstreams.
+//! The crashes known to an entry and the requests that ran at crashed upstreams.
 
 use std::sync::Mutex;
 
@@ -14,30 +14,32 @@
 
 use crate::Upstream;
 
-/// How many crashes of one incarnation are told apart.
+/// The most crashes of one incarnation that are counted separately.
 const MAX_EARLIER_CRASHES: u64 = 64;
 
-/// The crashes that this entry or others have seen, and the requests served here lately.
+/// The crashes that this entry or others have reported, and the requests that completed
+/// here recently.
 #[derive(Debug, Default)]
 pub(crate) struct KnownCrashes {
     ledger: Mutex<CrashLedger>,
     served: Mutex<ServedRequests>,
 }
 
-/// A hash of an upstream's id and the start time of its known incarnation, the same at all
-/// entries.
+/// A hash of an upstream's id and the start time of its known incarnation, the same at
+/// all entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct IncarnationHash(u64);
 
 impl IncarnationHash {
-    /// Hashes the incarnation that the list or the sidecar reports; the start time is 0 if
-    /// none is known.
+    /// Hashes the incarnation that the list or the sidecar reports; the start time is 0
+    /// if none is known.
     pub(crate) fn of(upstream: &Upstream) -> Self {
         let start = upstream.incarnation().map_or(0, |incarnation| incarnation.born_at.0);
         Self(xxh3_64(format!("{}/{start}", upstream.id).as_bytes()))
     }
 
-    /// Returns the id of the crash that follows `earlier_crashes` others in the incarnation.
+    /// Returns the id of the crash that follows `earlier_crashes` others in the
+    /// incarnation.
     ///
     /// Prevents the crashes of a server that restarts before the list shows its new start
     /// from counting as one. The first crash keeps the hash itself as its id, for
@@ -50,28 +52,29 @@
     }
 }
 
-/// What reports have changed.
+/// The outcome of merging reports.
 #[derive(Debug)]
-pub(crate) struct Merged {
-    /// The reports that were not known.
-    pub(crate) news: Vec<CrashReport>,
-    /// Crashes that are void, as their requests ran to their end here shortly before.
+pub(crate) struct MergeOutcome {
+    /// The reports that were not known before.
+    pub(crate) new_reports: Vec<CrashReport>,
+    /// Crashes that are void, as their requests completed here shortly before.
     pub(crate) voided: Vec<CrashReport>,
-    /// The requests whose quarantine has begun, and until when.
+    /// The newly quarantined requests, each with the end of its quarantine.
     pub(crate) quarantined: Vec<(RequestKey, UnixMs)>,
 }
 
 impl KnownCrashes {
-    /// Merges reports.
-    pub(crate) fn merge(&self, reports: Vec<CrashReport>, now: UnixMs) -> Merged {
-        let mut news = reports;
-        let before: Vec<_> = news.iter().map(|r| self.standing(r.request, now)).collect();
-        let requests: Vec<_> = news.iter().map(|report| report.request).collect();
+    /// Merges reports and voids the crashes of requests that completed here recently.
+    pub(crate) fn merge(&self, reports: Vec<CrashReport>, now: UnixMs) -> MergeOutcome {
+        let mut new_reports = reports;
+        let before: Vec<_> =
+            new_reports.iter().map(|r| self.standing(r.request, now)).collect();
+        let requests: Vec<_> = new_reports.iter().map(|report| report.request).collect();
         {
             let mut ledger = self.ledger.lock().unwrap();
-            news.retain(|report| ledger.merge(*report, now));
+            new_reports.retain(|report| ledger.merge(*report, now));
         }
-        let voided = self.void_crashes_of_served(&news, now);
+        let voided = self.void_crashes_of_served(&new_reports, now);
         let mut quarantined: Vec<_> = requests
             .into_iter()
             .zip(before)
@@ -82,10 +85,10 @@
             })
             .collect();
         quarantined.dedup();
-        Merged { news, voided, quarantined }
+        MergeOutcome { new_reports, voided, quarantined }
     }
 
-    /// Records that a request ran to its end; returns the crashes that are void now.
+    /// Records that a request completed; returns the crashes that this voids.
     pub(crate) fn record_served(
         &self,
         request: RequestKey,
@@ -114,7 +117,7 @@
         self.ledger.lock().unwrap().is_quarantine_pending(request, now)
     }
 
-    /// Returns the notices that a sidecar gets as it connects.
+    /// Returns the notices that are sent to a sidecar when it connects.
     pub(crate) fn notices(&self, now: UnixMs) -> Vec<CrashNotice> {
         let reports = self.ledger.lock().unwrap().reports_on_suspects(now);
         CrashNotice::of(&reports).collect()
