--- a/crates/bilberry-wire/src/codec.rs
+++ b/crates/bilberry-wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Length-delimited frames of encoded messages.
+//! The codec for length-delimited frames.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -10,34 +10,34 @@
 
 use crate::Frame;
 
-/// The largest frame that is sent or accepted.
+/// The maximum size of a frame that is sent or accepted.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
 /// Why a frame could not be sent or read.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// The connection failed, or a frame was over the bound.
-    #[error("the connection failed: {0}; it is opened anew on the next call")]
+    /// The connection failed, or a frame exceeded [`MAX_FRAME_BYTES`].
+    #[error("the connection failed: {0}; it is reopened on the next call")]
     Io(#[from] std::io::Error),
-    /// The bytes are no message of ours.
-    #[error("a frame can't be decoded: {0}; check that both ends run one release")]
+    /// The bytes do not decode as a [`Frame`].
+    #[error("failed to decode a frame: {0}; check that both peers run the same release")]
     Decode(#[from] prost::DecodeError),
 }
 
-/// Turns frames into bytes and back.
+/// Encodes and decodes frames.
 #[derive(Debug)]
 pub struct FrameCodec {
-    lengths: LengthDelimitedCodec,
+    length_codec: LengthDelimitedCodec,
 }
 
 impl FrameCodec {
     /// Creates a codec.
     pub fn new() -> Self {
-        let lengths = LengthDelimitedCodec::builder()
+        let length_codec = LengthDelimitedCodec::builder()
             .max_frame_length(MAX_FRAME_BYTES)
             .length_field_length(3)
             .new_codec();
-        Self { lengths }
+        Self { length_codec }
     }
 }
 
@@ -52,7 +52,7 @@
 
     fn encode(&mut self, frame: Frame, out: &mut BytesMut) -> Result<(), WireError> {
         let bytes = Bytes::from(frame.encode_to_vec());
-        Ok(self.lengths.encode(bytes, out)?)
+        Ok(self.length_codec.encode(bytes, out)?)
     }
 }
 
@@ -61,7 +61,7 @@
     type Error = WireError;
 
     fn decode(&mut self, bytes: &mut BytesMut) -> Result<Option<Frame>, WireError> {
-        match self.lengths.decode(bytes)? {
+        match self.length_codec.decode(bytes)? {
             Some(frame) => Ok(Some(Frame::decode(frame)?)),
             None => Ok(None),
         }
--- a/crates/bilberry-wire/src/crashes.rs
+++ b/crates/bilberry-wire/src/crashes.rs
@@ -1,15 +1,15 @@
-//! Which requests were running at upstreams when these crashed.
+//! Reports of requests that were running at an upstream when it crashed.
 
 use bilberry_core::CrashReport;
 use bilberry_core::RequestKey;
 
-/// How many runs one notice carries, some tens of kilobytes.
-const MAX_RUNS: usize = 2_000;
+/// The maximum number of runs per notice, which is some tens of kilobytes.
+const MAX_RUNS_PER_NOTICE: usize = 2_000;
 
-/// Crashes that an entry has seen, or that a sidecar relays to entries.
+/// Crashes that an entry has observed, or that a sidecar relays to entries.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct CrashNotice {
-    /// The crashes.
+    /// The interrupted runs.
     #[prost(message, repeated, tag = "1")]
     pub runs: Vec<CrashedRun>,
 }
@@ -20,10 +20,10 @@
     /// The key of the request.
     #[prost(fixed64, tag = "1")]
     pub request: u64,
-    /// A hash of the server's identity and start.
+    /// A hash of the server's identity and start time.
     #[prost(fixed64, tag = "2")]
     pub server: u64,
-    /// Whether the request is not to blame, as it has run to its end since.
+    /// Whether the report is void because the request has since run to completion.
     #[prost(bool, tag = "3")]
     pub is_void: bool,
     /// How long the request had run, in milliseconds.
@@ -46,9 +46,11 @@
 }
 
 impl CrashNotice {
-    /// Returns notices of these crashes, each of which fits a frame; none of none.
+    /// Splits these reports into notices that each fit into a frame.
+    ///
+    /// Yields nothing if there are no reports.
     pub fn of(reports: &[CrashReport]) -> impl Iterator<Item = Self> {
-        let chunks = reports.chunks(MAX_RUNS);
+        let chunks = reports.chunks(MAX_RUNS_PER_NOTICE);
         chunks.map(|chunk| Self { runs: chunk.iter().copied().map(Into::into).collect() })
     }
 }
--- a/crates/bilberry-wire/src/dispatch.rs
+++ b/crates/bilberry-wire/src/dispatch.rs
@@ -1,32 +1,32 @@
-//! Handing a request to a sidecar, and what comes back.
+//! Dispatching a request to a sidecar, and the responses to it.
 
 use bytes::Bytes;
 
-/// What sort of request is handed over.
+/// The type of a dispatched request.
 #[derive(
     Debug, Copy, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration,
 )]
 #[repr(i32)]
 pub enum Kind {
-    /// A completion, streamed by an engine.
+    /// A completion that an engine streams.
     Completion = 0,
     /// A call to a plain service.
     Plain = 1,
 }
 
-/// Hands a request to a sidecar.
+/// Dispatches a request to a sidecar.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Dispatch {
-    /// The request, as the caller and the time line know it.
+    /// The request ID that the caller and the timeline use.
     #[prost(string, tag = "1")]
     pub request: String,
-    /// A number that no other attempt carries.
+    /// A number unique to this attempt.
     #[prost(fixed64, tag = "2")]
     pub attempt_token: u64,
     /// The number of the attempt within its request.
     #[prost(uint32, tag = "3")]
     pub attempt: u32,
-    /// What sort of request it is.
+    /// The type of the request.
     #[prost(enumeration = "Kind", tag = "4")]
     pub kind: i32,
     /// The customer.
@@ -41,16 +41,16 @@
     /// The customer's priority.
     #[prost(uint32, tag = "8")]
     pub priority: u32,
-    /// When the caller has no more use for an answer.
+    /// The caller's deadline, in Unix milliseconds.
     #[prost(uint64, tag = "9")]
     pub deadline_unix_ms: u64,
     /// The model.
     #[prost(string, tag = "10")]
     pub model: String,
-    /// The adapter; empty for the bare model.
+    /// The adapter; empty for the base model.
     #[prost(string, tag = "11")]
     pub adapter: String,
-    /// The weights that a resumed stream began on; empty for a new one.
+    /// The weights that a resumed stream started with; empty for a new stream.
     #[prost(string, tag = "12")]
     pub weights: String,
     /// The HTTP method of a plain call.
@@ -62,39 +62,39 @@
     /// The content type of a plain call.
     #[prost(string, tag = "15")]
     pub content_type: String,
-    /// The body as the caller sent it.
+    /// The unmodified request body.
     #[prost(bytes = "bytes", tag = "16")]
     pub body: Bytes,
-    /// The text that earlier attempts delivered already.
+    /// The text that earlier attempts have already delivered.
     #[prost(string, tag = "17")]
     pub resume_text: String,
-    /// How many blocks the prompt has.
+    /// The number of blocks in the prompt.
     #[prost(uint32, tag = "18")]
     pub blocks: u32,
-    /// The fingerprints of the chain at the sampled depths.
+    /// Fingerprints of the prompt's block chain at the sampled depths.
     #[prost(fixed32, repeated, packed = "true", tag = "19")]
     pub sample: Vec<u32>,
-    /// How many tokens the answer may have.
+    /// The maximum number of tokens to generate.
     #[prost(uint32, tag = "20")]
     pub max_tokens: u32,
-    /// The key by which the service may know a repeated call.
+    /// The key by which the service can detect a repeated call.
     #[prost(string, tag = "21")]
     pub idempotency_key: String,
 }
 
-/// The next piece of a stream.
+/// One chunk of a stream.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Chunk {
     /// The attempt within the request.
     #[prost(uint32, tag = "1")]
     pub attempt: u32,
-    /// The position within the attempt, from zero.
+    /// The zero-based index of the chunk within the attempt.
     #[prost(uint64, tag = "2")]
     pub number: u64,
     /// The text.
     #[prost(string, tag = "3")]
     pub text: String,
-    /// The weights that computed it; set on the first chunk.
+    /// The weights that generated the text; set on the first chunk only.
     #[prost(string, tag = "4")]
     pub weights: String,
 }
@@ -105,27 +105,27 @@
     /// The attempt within the request.
     #[prost(uint32, tag = "1")]
     pub attempt: u32,
-    /// How many chunks the attempt had.
+    /// The number of chunks in the attempt.
     #[prost(uint64, tag = "2")]
     pub chunks: u64,
-    /// Why the engine ended: `stop` or `length`.
+    /// Why the engine stopped generating: `stop` or `length`.
     #[prost(string, tag = "3")]
     pub reason: String,
-    /// The tokens of the prompt.
+    /// The number of prompt tokens.
     #[prost(uint64, tag = "4")]
     pub prompt_tokens: u64,
-    /// Those of them that were cached.
+    /// The number of prompt tokens that were cached.
     #[prost(uint64, tag = "5")]
     pub cached_tokens: u64,
-    /// The tokens of the answer.
+    /// The number of generated tokens.
     #[prost(uint64, tag = "6")]
     pub completion_tokens: u64,
 }
 
-/// The answer of a plain service.
+/// The response of a plain service.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PlainAnswer {
-    /// The HTTP status.
+    /// The HTTP status code.
     #[prost(uint32, tag = "1")]
     pub status: u32,
     /// The content type.
@@ -136,22 +136,23 @@
     pub body: Bytes,
 }
 
-/// Says that a request, or the rest of it, was not served.
+/// Rejects a request, or the rest of a stream.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Refused {
-    /// A stable word for the reason.
+    /// A stable, machine-readable code for the reason.
     #[prost(string, tag = "1")]
     pub code: String,
-    /// The reason and the remedy, for people.
+    /// A human-readable reason and remedy.
     #[prost(string, tag = "2")]
     pub message: String,
-    /// Whether the upstream may have been given the request.
+    /// Whether the request may have reached the upstream.
     #[prost(bool, tag = "3")]
     pub may_have_run: bool,
-    /// When to come back.
+    /// The delay after which to retry, in milliseconds.
     #[prost(uint64, tag = "4")]
     pub retry_after_ms: u64,
-    /// The status of the upstream's own refusal, passed on; zero for ours.
+    /// The status code with which the upstream itself refused the request; zero if the
+    /// router refused it.
     #[prost(uint32, tag = "5")]
     pub upstream_status: u32,
 }
--- a/crates/bilberry-wire/src/feed.rs
+++ b/crates/bilberry-wire/src/feed.rs
@@ -1,9 +1,9 @@
-//! What sidecars and entries tell each other while both run.
+//! Notifications between sidecars and entries.
 
 use bilberry_core::Incarnation;
 use bilberry_core::UnixMs;
 
-/// One model and the version of its weights.
+/// A model and the version of its weights.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ModelVersion {
     /// The model.
@@ -14,140 +14,141 @@
     pub version: u64,
 }
 
-/// How an upstream fares, as its sidecar sees it.
+/// The state of an upstream as observed by its sidecar.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct UpstreamState {
-    /// Whether it answers its sidecar.
+    /// Whether it responds to its sidecar.
     #[prost(bool, tag = "1")]
     pub up: bool,
-    /// Whether it is about to load weights, or loads them.
+    /// Whether it is loading weights or is about to.
     #[prost(bool, tag = "2")]
     pub loading: bool,
     /// The weights that it serves.
     #[prost(message, repeated, tag = "3")]
     pub models: Vec<ModelVersion>,
-    /// Requests that run.
+    /// The number of running requests.
     #[prost(uint64, tag = "4")]
     pub running: u64,
-    /// Requests that wait.
+    /// The number of queued requests.
     #[prost(uint64, tag = "5")]
     pub queued: u64,
-    /// Tokens of memory that can't be freed now.
+    /// Memory that cannot be freed at present, in tokens.
     #[prost(uint64, tag = "6")]
     pub used_tokens: u64,
-    /// Tokens of memory in all.
+    /// Total memory, in tokens.
     #[prost(uint64, tag = "7")]
     pub total_tokens: u64,
-    /// How many entries are connected to the sidecar.
+    /// The number of entries connected to the sidecar.
     #[prost(uint64, tag = "8")]
     pub entries: u64,
-    /// Chosen anew by the engine's cache at each start; zero while it is unknown.
+    /// A value that the engine's cache chooses at each start; zero while unknown.
     #[prost(fixed64, tag = "9")]
     pub cache_epoch: u64,
-    /// In how many milliseconds it begins to load weights, if that is planned.
+    /// The time until it starts to load weights, in milliseconds, if a load is planned.
     ///
-    /// A time of day would be read by another host's clock.
+    /// Relative, because the receiving host's clock may differ.
     #[prost(uint64, optional, tag = "10")]
     pub loads_in_ms: Option<u64>,
-    /// When the upstream started, in Unix milliseconds, if it tells it.
+    /// When the upstream started, in Unix milliseconds, if it reports that.
     #[prost(fixed64, optional, tag = "11")]
     pub born_ms: Option<u64>,
-    /// Whether it has announced its shutdown in an answer.
+    /// Whether it has announced its shutdown in a response.
     #[prost(bool, tag = "12")]
     pub leaving: bool,
 }
 
-/// What an entry tells a sidecar.
+/// An entry's view of the service, sent to a sidecar.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct EntryNotice {
-    /// The upstream's position among those of its service, in an agreed order.
+    /// The upstream's index among those of its service, in an order that all entries
+    /// share.
     #[prost(uint64, tag = "1")]
     pub position: u64,
-    /// How many upstreams the service has.
+    /// The number of upstreams of the service.
     #[prost(uint64, tag = "2")]
     pub servers: u64,
-    /// The newest weights of the service's models that the entry knows of.
+    /// The newest weights of the service's models known to the entry.
     #[prost(message, repeated, tag = "3")]
     pub newest: Vec<ModelVersion>,
-    /// How many upstreams of the service are down.
+    /// The number of upstreams of the service that are down.
     #[prost(uint64, tag = "4")]
     pub down: u64,
-    /// The addresses of the stores of kept prompts that the sidecar is to follow for
-    /// this entry; others follow the rest.
+    /// The addresses of the prompt stores that the sidecar follows for this entry; other
+    /// sidecars follow the rest.
     #[prost(string, repeated, tag = "5")]
     pub prompt_stores: Vec<String>,
 }
 
-/// What an entry tells a sidecar of shared parts that its requests read there.
+/// Shared prompt parts that an entry's requests read at an upstream.
 ///
-/// The sidecar passes it on to the other entries at once. The engine tells the same
-/// in its cache events, some hundred milliseconds later.
+/// The sidecar forwards the notice to the other entries immediately, as the engine's
+/// cache events report the same parts only some hundred milliseconds later.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ReadingNotice {
-    /// Parts whose reading begins.
+    /// Parts that the upstream starts to read.
     #[prost(message, repeated, tag = "1")]
     pub begun: Vec<PartReading>,
     /// Parts that have been read, as hashes of salt and part.
     #[prost(fixed64, repeated, tag = "2")]
     pub read: Vec<u64>,
-    /// When the upstream that reads them started, in Unix milliseconds, if known.
+    /// When the upstream reading them started, in Unix milliseconds, if known.
     #[prost(fixed64, optional, tag = "3")]
     pub born_ms: Option<u64>,
 }
 
-/// A part of a prompt that is read.
+/// A prompt part that is being read.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct PartReading {
     /// The part, as a hash of salt and part.
     #[prost(fixed64, tag = "1")]
     pub part: u64,
-    /// In how many milliseconds it should have been read.
+    /// The expected time until the read completes, in milliseconds.
     ///
-    /// A time of day would be read by another host's clock.
+    /// Relative, because the receiving host's clock may differ.
     #[prost(uint64, tag = "2")]
     pub done_in_ms: u64,
 }
 
-/// What changed in one store of kept prompts.
+/// A change of the contents of a prompt store.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct StoreChange {
     /// The address of the store.
     #[prost(string, tag = "1")]
     pub store: String,
-    /// The parts.
+    /// The added and removed parts.
     #[prost(message, optional, tag = "2")]
     pub change: Option<CacheChange>,
 }
 
-/// Parts of prompts that an upstream or a store began or ceased to hold.
+/// A change of the prompt parts held by an upstream or a prompt store.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct CacheChange {
-    /// Whether all that was told before no longer counts.
+    /// Whether this replaces everything sent before.
     #[prost(bool, tag = "1")]
     pub reset: bool,
-    /// Parts that it holds now, as hashes of salt and part.
+    /// Parts that are now held, as hashes of salt and part.
     #[prost(fixed64, repeated, tag = "2")]
     pub added: Vec<u64>,
-    /// Parts that it dropped.
+    /// Parts that are no longer held, as hashes of salt and part.
     #[prost(fixed64, repeated, tag = "3")]
     pub removed: Vec<u64>,
-    /// When the upstream that held them started, in Unix milliseconds, if known.
+    /// When the holder of the parts started, in Unix milliseconds, if known.
     #[prost(fixed64, optional, tag = "4")]
     pub born_ms: Option<u64>,
-    /// Parts that it has begun to read.
+    /// Parts that the upstream has started to read.
     #[prost(message, repeated, tag = "5")]
     pub reading: Vec<PartReading>,
 }
 
 impl UpstreamState {
-    /// Returns the incarnation that this tells of, if it is known.
+    /// Returns the incarnation that this message describes, if known.
     pub fn incarnation(&self) -> Option<Incarnation> {
         self.born_ms.map(|ms| Incarnation { born_at: UnixMs(ms) })
     }
 }
 
 impl CacheChange {
-    /// Returns the incarnation that this tells of, if it is known.
+    /// Returns the incarnation that this message describes, if known.
     pub fn incarnation(&self) -> Option<Incarnation> {
         self.born_ms.map(|ms| Incarnation { born_at: UnixMs(ms) })
     }
--- a/crates/bilberry-wire/src/frame.rs
+++ b/crates/bilberry-wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! The frame that carries each message.
+//! The envelope of every message.
 
 use crate::CacheChange;
 use crate::Chunk;
@@ -25,10 +25,10 @@
 use crate::WatchAnswer;
 use crate::WatchAsk;
 
-/// One message on a connection.
+/// A message and its envelope.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Frame {
-    /// The call that the message belongs to; the caller chooses the number.
+    /// The call that the message belongs to, by a number that the caller chooses.
     #[prost(uint64, tag = "1")]
     pub call: u64,
     /// The configuration revision in force at the sender.
@@ -46,110 +46,111 @@
     pub body: Option<Body>,
 }
 
-/// The messages.
+/// The payload of a frame.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Body {
     /// Opens a connection.
     #[prost(message, tag = "4")]
     Hello(Hello),
-    /// Asks whether the other end is alive.
+    /// Checks whether the peer is alive.
     #[prost(bool, tag = "5")]
     Ping(bool),
     /// Answers a ping.
     #[prost(bool, tag = "6")]
     Pong(bool),
-    /// Asks what an upstream holds of a prompt.
+    /// Asks how much of a prompt an upstream has cached.
     #[prost(message, tag = "7")]
     Probe(Probe),
     /// Answers a probe.
     #[prost(message, tag = "8")]
     ProbeAnswer(ProbeAnswer),
-    /// Hands a request to a sidecar.
+    /// Dispatches a request to a sidecar.
     #[prost(message, tag = "9")]
     Dispatch(Dispatch),
-    /// Says that the request is about to be given to the upstream.
+    /// Announces that the request is about to be sent to the upstream.
     #[prost(bool, tag = "10")]
     Started(bool),
-    /// Carries the next piece of a stream.
+    /// Carries one chunk of a stream.
     #[prost(message, tag = "11")]
     Chunk(Chunk),
     /// Ends a stream.
     #[prost(message, tag = "12")]
     Finished(Finished),
-    /// Carries the answer of a plain service.
+    /// Carries the response of a plain service.
     #[prost(message, tag = "13")]
     PlainAnswer(PlainAnswer),
-    /// Says that a request, or the rest of it, was not served.
+    /// Rejects a request, or the rest of a stream.
     #[prost(message, tag = "14")]
     Refused(Refused),
-    /// Gives up a call.
+    /// Cancels a call.
     #[prost(bool, tag = "15")]
     Cancel(bool),
-    /// Asks for the configuration and the members.
+    /// Requests the configuration and the members.
     #[prost(message, tag = "16")]
     StateAsk(StateAsk),
-    /// Answers with the configuration and the members.
+    /// Returns the configuration and the members.
     #[prost(message, tag = "17")]
     StateAnswer(StateAnswer),
-    /// Asks for recorded events.
+    /// Requests recorded events.
     #[prost(message, tag = "18")]
     EventsAsk(EventsAsk),
-    /// Answers with recorded events.
+    /// Returns recorded events.
     #[prost(message, tag = "19")]
     EventsAnswer(EventsAnswer),
-    /// Asks for the state of a process.
+    /// Requests the state of a process.
     #[prost(bool, tag = "20")]
     StatusAsk(bool),
-    /// Answers with the state of a process.
+    /// Returns the state of a process.
     #[prost(message, tag = "21")]
     StatusAnswer(StatusAnswer),
-    /// Asks a sidecar to take no new work.
+    /// Asks a sidecar to stop accepting new work.
     #[prost(message, tag = "22")]
     DrainAsk(DrainAsk),
-    /// Answers a drain with what is still in progress.
+    /// Answers a drain with the number of requests still in progress.
     #[prost(message, tag = "23")]
     DrainAnswer(DrainAnswer),
-    /// Asks for pieces of the configuration.
+    /// Requests pieces of the configuration.
     #[prost(message, tag = "24")]
     PiecesAsk(PiecesAsk),
-    /// Answers with pieces of the configuration.
+    /// Returns pieces of the configuration.
     #[prost(message, tag = "25")]
     PiecesAnswer(PiecesAnswer),
-    /// Tells an entry how an upstream fares.
+    /// Notifies an entry of the state of an upstream.
     #[prost(message, tag = "26")]
     UpstreamState(UpstreamState),
-    /// Tells a sidecar what its entry knows of the service.
+    /// Notifies a sidecar of an entry's view of the service.
     #[prost(message, tag = "27")]
     EntryNotice(EntryNotice),
-    /// Tells an entry which parts of prompts an upstream holds.
+    /// Notifies an entry of changes of the prompt parts that an upstream holds.
     #[prost(message, tag = "28")]
     CacheChange(CacheChange),
-    /// Tells an entry which parts a store of kept prompts holds.
+    /// Notifies an entry of changes of the parts that a prompt store holds.
     ///
-    /// Its number is not 29: that one carried changes without the store's address.
+    /// Tag 29 must not be reused: it carried changes without the store's address.
     #[prost(message, tag = "30")]
     StoreChange(StoreChange),
-    /// Tells a sidecar, for all entries, which shared parts are read there.
+    /// Notifies a sidecar, for all entries, of shared parts that are read there.
     #[prost(message, tag = "31")]
     ReadingNotice(ReadingNotice),
-    /// Asks a sidecar for changes of the platform's store.
+    /// Requests changes of the platform's store from a sidecar.
     #[prost(message, tag = "32")]
     WatchAsk(WatchAsk),
-    /// Answers with changes of the platform's store.
+    /// Returns changes of the platform's store.
     #[prost(message, tag = "33")]
     WatchAnswer(WatchAnswer),
-    /// Reports crashes of upstreams during runs, in both directions.
+    /// Reports requests that were running when an upstream crashed; sent in both
+    /// directions.
     #[prost(message, tag = "34")]
     CrashNotice(CrashNotice),
 }
 
-/// Who opened a connection.
+/// Identifies the process that opened a connection.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Hello {
     /// The name of the process.
     #[prost(string, tag = "1")]
     pub process: String,
-    /// Its address for peers.
+    /// The address at which peers reach the process.
     #[prost(string, tag = "2")]
     pub address: String,
 }
--- a/crates/bilberry-wire/src/lib.rs
+++ b/crates/bilberry-wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Messages between the router's own processes, and their framing.
+//! The wire protocol between the router's processes.
 //!
-//! One TCP connection carries many calls. Each [`Frame`] names its call, the
-//! sender's configuration revision and its clock. The message structs are
-//! written by hand with the derives of `prost`, so the build needs no generator.
+//! Calls are multiplexed over one TCP connection. Each [`Frame`] carries its call
+//! number, the sender's configuration revision and the sender's clock. The message
+//! structs use the derives of `prost` directly, so the build needs no code generator.
 
 mod codec;
 mod crashes;
--- a/crates/bilberry-wire/src/shared_watch.rs
+++ b/crates/bilberry-wire/src/shared_watch.rs
@@ -1,47 +1,47 @@
-//! A watch of the platform's store that a sidecar shares with entries.
+//! Watching the platform's store through a sidecar.
 
 use bilberry_core::StorePosition;
 use bytes::Bytes;
 
-/// Asks for the changes of one kind of objects after a revision.
+/// Requests the changes of one kind of object after a revision.
 ///
-/// The answer carries the call number of the question's frame.
+/// The answer carries the call number of the request's frame.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct WatchAsk {
-    /// The kind.
+    /// The kind of object.
     #[prost(string, tag = "1")]
     pub kind: String,
-    /// The revision up to which the asker knows everything.
+    /// The revision up to which the requester has all changes.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// How long a call to the store may wait for changes.
+    /// The maximum time that a call to the store waits for changes.
     #[prost(uint64, tag = "3")]
     pub wait_ms: u64,
-    /// The least time between two calls of which the first brought changes.
+    /// The minimum interval between two calls if the first returned changes.
     #[prost(uint64, tag = "4")]
     pub spacing_ms: u64,
-    /// The era of the store that the revision is of; none where the store tells none, or
-    /// from a process that knows no eras.
+    /// The era of the store that the revision belongs to; none if the store reports no
+    /// era or the sender does not support eras.
     #[prost(uint64, optional, tag = "5")]
     pub era: Option<u64>,
 }
 
 impl WatchAsk {
-    /// Returns the position up to which the asker knows everything.
+    /// Returns the position up to which the requester has all changes.
     pub fn position(&self) -> StorePosition {
         StorePosition { era: self.era, revision: self.revision }
     }
 }
 
-/// What came of a question for changes.
+/// The outcome of a request for changes.
 #[derive(
     Debug, Copy, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration,
 )]
 #[repr(i32)]
 pub enum WatchOutcome {
-    /// The store does not answer the sidecar.
+    /// The sidecar cannot get an answer from the store.
     Lost = 0,
-    /// The asker has to ask the store itself once, to be in step again.
+    /// The requester has to query the store directly once to catch up.
     OutOfStep = 1,
     /// Nothing has changed.
     Quiet = 2,
@@ -49,26 +49,26 @@
     News = 3,
 }
 
-/// Answers a question for changes.
+/// Answers a request for changes.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct WatchAnswer {
-    /// What came of it.
+    /// The outcome.
     #[prost(enumeration = "WatchOutcome", tag = "1")]
     pub outcome: i32,
-    /// The revision to ask from next.
+    /// The revision to continue from.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// How long after the question's arrival the store had nothing more than this;
-    /// negative if before.
+    /// The time at which the store had no changes beyond this answer, in milliseconds
+    /// after the arrival of the request; negative if before it.
     ///
-    /// A time of day would be read by another host's clock.
+    /// Relative, because the receiving host's clock may differ.
     #[prost(sint64, tag = "3")]
     pub known_ms: i64,
-    /// The changes, as the store sent them.
+    /// The changes in the encoding of the store.
     #[prost(bytes = "bytes", tag = "4")]
     pub news: Bytes,
-    /// The era of the store that the revision is of; none where the store tells none, or
-    /// from a process that knows no eras.
+    /// The era of the store that the revision belongs to; none if the store reports no
+    /// era or the sender does not support eras.
     #[prost(uint64, optional, tag = "5")]
     pub era: Option<u64>,
 }
--- a/crates/bilberry-wire/src/state.rs
+++ b/crates/bilberry-wire/src/state.rs
@@ -1,40 +1,40 @@
-//! Configuration, members, events and status between processes.
+//! Exchange of configuration, members, events and status between processes.
 
-/// What a process does.
+/// The role of a process.
 #[derive(
     Debug, Copy, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration,
 )]
 #[repr(i32)]
 pub enum Role {
-    /// It takes callers' requests.
+    /// Accepts callers' requests.
     Entry = 0,
-    /// It stands beside an upstream.
+    /// Runs next to an upstream.
     Sidecar = 1,
 }
 
-/// Asks for what a peer knows.
+/// Requests the configuration and the members known to a peer.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StateAsk {
-    /// The revision in force at the asker, whose pieces needn't be sent.
+    /// The revision in force at the requester, whose pieces need not be sent.
     #[prost(uint64, tag = "1")]
     pub have_revision: u64,
-    /// A hash of the members that the asker knows.
+    /// A hash of the members known to the requester.
     #[prost(fixed64, tag = "2")]
     pub members_digest: u64,
 }
 
-/// What a peer knows.
+/// The configuration and the members known to a peer.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StateAnswer {
-    /// The head object's value; empty if the asker has this revision.
+    /// The value of the head object; empty if the requester has this revision.
     #[prost(string, tag = "1")]
     pub head: String,
-    /// The members; none if the asker's digest matches.
+    /// The members; empty if the requester's digest matches.
     #[prost(message, repeated, tag = "3")]
     pub members: Vec<Member>,
 }
 
-/// Asks for pieces of the configuration.
+/// Requests pieces of the configuration.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PiecesAsk {
     /// The hashes of the pieces.
@@ -42,7 +42,7 @@
     pub hashes: Vec<String>,
 }
 
-/// Pieces of the configuration, as many as fit a frame.
+/// As many of the requested pieces as fit into a frame.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PiecesAnswer {
     /// The pieces.
@@ -61,7 +61,7 @@
     pub text: String,
 }
 
-/// One process of the system.
+/// A process of the system.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Member {
     /// The name of the process.
@@ -70,33 +70,33 @@
     /// The host that it runs on.
     #[prost(string, tag = "2")]
     pub host: String,
-    /// What it does.
+    /// The role.
     #[prost(enumeration = "Role", tag = "3")]
     pub role: i32,
-    /// The upstream that it stands beside; empty for an entry.
+    /// The upstream that it runs next to; empty for an entry.
     #[prost(string, tag = "4")]
     pub upstream: String,
-    /// Where peers reach it.
+    /// The address at which peers reach it.
     #[prost(string, tag = "5")]
     pub address: String,
-    /// The random number of its start.
+    /// A random number chosen at its start.
     #[prost(fixed64, tag = "6")]
     pub incarnation: u64,
-    /// The number of its registration; a higher one replaces a lower one.
+    /// The version of its registration; a higher version replaces a lower one.
     #[prost(uint64, tag = "7")]
     pub version: u64,
-    /// Whether it takes no new work any more.
+    /// Whether it has stopped accepting new work.
     #[prost(bool, tag = "8")]
     pub leaving: bool,
 }
 
-/// Asks for recorded events.
+/// Requests recorded events.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EventsAsk {
-    /// Only events of this request; empty for all.
+    /// Return only events of this request; empty for all requests.
     #[prost(string, tag = "1")]
     pub request: String,
-    /// How many events at the most, the latest.
+    /// The maximum number of events; the most recent are returned.
     #[prost(uint32, tag = "2")]
     pub most: u32,
 }
@@ -109,10 +109,10 @@
     pub events: Vec<Event>,
 }
 
-/// One event of the time line.
+/// An event of the timeline.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Event {
-    /// The hybrid logical stamp.
+    /// The hybrid logical clock timestamp.
     #[prost(fixed64, tag = "1")]
     pub hlc: u64,
     /// The process.
@@ -121,10 +121,10 @@
     /// The request; empty for an event of the process itself.
     #[prost(string, tag = "3")]
     pub request: String,
-    /// What happened, a stable word.
+    /// A stable, machine-readable name for what happened.
     #[prost(string, tag = "4")]
     pub what: String,
-    /// The details, for people.
+    /// Human-readable details.
     #[prost(string, tag = "5")]
     pub detail: String,
 }
@@ -138,30 +138,30 @@
     /// The configuration revision in force.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// The requests in progress.
+    /// The number of requests in progress.
     #[prost(uint64, tag = "3")]
     pub in_progress: u64,
-    /// The requests that wait.
+    /// The number of queued requests.
     #[prost(uint64, tag = "4")]
     pub queued: u64,
-    /// The blocks in the sidecar's index.
+    /// The number of blocks in the sidecar's index.
     #[prost(uint64, tag = "5")]
     pub cached_blocks: u64,
     /// The weights that the engine runs.
     #[prost(string, tag = "6")]
     pub weights: String,
-    /// The fencing number of the lease; zero without one.
+    /// The fencing token of the lease; zero without a lease.
     #[prost(uint64, tag = "7")]
     pub fencing: u64,
-    /// Whether the platform answers.
+    /// Whether the platform responds.
     #[prost(bool, tag = "8")]
     pub platform_ok: bool,
 }
 
-/// Asks a sidecar to take no new work.
+/// Asks a sidecar to stop accepting new work.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct DrainAsk {
-    /// The upstream that is to be drained.
+    /// The upstream to drain.
     #[prost(string, tag = "1")]
     pub upstream: String,
 }
@@ -169,7 +169,7 @@
 /// Answers a drain.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct DrainAnswer {
-    /// The requests still in progress.
+    /// The number of requests still in progress.
     #[prost(uint64, tag = "1")]
     pub in_progress: u64,
 }
