--- a/crates/bilberry-steward/src/crash_relay.rs
+++ b/crates/bilberry-steward/src/crash_relay.rs
@@ -1,4 +1,4 @@
-//! Crashes of upstreams during runs, relayed between entries.
+//! Relaying reports of upstream crashes between entries.
 
 use std::sync::Mutex;
 
@@ -8,42 +8,44 @@
 use bilberry_wire::CrashNotice;
 use tokio::sync::broadcast;
 
-/// How many notices may wait for a slow entry; one that falls behind gets all reports again.
-const NOTICES_AHEAD: usize = 256;
+/// The number of notices buffered for a slow entry.
+///
+/// An entry that falls further behind receives all reports again.
+const NOTICE_BUFFER: usize = 256;
 
-/// The crashes that entries have reported, for all entries that connect.
+/// Collects the crash reports of all entries and relays them to each connected entry.
 #[derive(Debug)]
 pub struct CrashRelay {
     ledger: Mutex<CrashLedger>,
-    news: broadcast::Sender<CrashNotice>,
+    notices: broadcast::Sender<CrashNotice>,
 }
 
 impl CrashRelay {
-    /// Creates a relay that knows of no crash.
+    /// Creates a relay without any reports.
     pub fn new() -> Self {
-        Self { ledger: Mutex::default(), news: broadcast::Sender::new(NOTICES_AHEAD) }
+        Self { ledger: Mutex::default(), notices: broadcast::Sender::new(NOTICE_BUFFER) }
     }
 
-    /// Merges the reports of an entry, and relays those that were not known.
+    /// Merges the reports of an entry and relays the new ones.
     pub fn merge(&self, notice: CrashNotice, now: UnixMs) {
         let mut ledger = self.ledger.lock().unwrap();
         let mut reports: Vec<_> =
             notice.runs.into_iter().map(CrashReport::from).collect();
         reports.retain(|report| ledger.merge(*report, now));
-        for news in CrashNotice::of(&reports) {
-            // Without a receiver there is nobody to relay to.
-            let _ = self.news.send(news);
+        for notice in CrashNotice::of(&reports) {
+            // Fails only if no entry is connected.
+            let _ = self.notices.send(notice);
         }
     }
 
-    /// Returns notices of all crashes that are not forgotten, and a receiver of later ones.
+    /// Returns notices of all reports that have not expired, and a receiver for later notices.
     pub fn subscribe(
         &self,
         now: UnixMs,
     ) -> (Vec<CrashNotice>, broadcast::Receiver<CrashNotice>) {
-        // Under the lock, so that no report falls between the two.
+        // Subscribes while holding the lock, so that no report is missed in between.
         let ledger = self.ledger.lock().unwrap();
-        (CrashNotice::of(&ledger.reports(now)).collect(), self.news.subscribe())
+        (CrashNotice::of(&ledger.reports(now)).collect(), self.notices.subscribe())
     }
 }
 
--- a/crates/bilberry-steward/src/engine.rs
+++ b/crates/bilberry-steward/src/engine.rs
@@ -1,4 +1,4 @@
-//! The port to the engine beside this sidecar.
+//! The interface to the sidecar's engine.
 
 use std::future::Future;
 
@@ -9,35 +9,35 @@
 use crate::CacheEvents;
 use crate::CacheListing;
 
-/// How the engine fares.
+/// The state that an engine reports.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineReport {
-    /// The weights that it serves.
+    /// The models that it serves and the versions of their weights.
     pub models: Vec<ModelVersion>,
-    /// Whether it carries an order out.
+    /// Whether it is executing an order.
     pub busy: bool,
-    /// How many orders it has accepted since it started.
+    /// The number of orders that it has accepted since its start.
     pub orders: u64,
-    /// Requests that run.
+    /// The number of running requests.
     pub running: u64,
-    /// Requests that wait.
+    /// The number of queued requests.
     pub queued: u64,
-    /// Tokens of memory that can't be freed now.
+    /// Memory that cannot be freed at present, in tokens.
     pub used_tokens: u64,
-    /// Tokens of memory in all.
+    /// Total memory, in tokens.
     pub total_tokens: u64,
-    /// Which start of the engine this tells of, if it says so.
+    /// The incarnation of the engine that reported this, if known.
     pub incarnation: Option<Incarnation>,
     /// Whether it announces its shutdown.
     pub is_leaving: bool,
 }
 
-/// What becomes of the requests that run while an engine takes new weights.
+/// How running requests are handled when an engine swaps its weights.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum SwapMode {
-    /// They end first.
+    /// They complete before the swap.
     Finish,
-    /// They go on, with the new weights.
+    /// They continue on the new weights.
     Continue,
 }
 
@@ -46,44 +46,44 @@
 pub struct LoadOrder {
     /// The model and the version to load.
     pub weights: ModelVersion,
-    /// What becomes of the requests that run.
+    /// How running requests are handled.
     pub mode: SwapMode,
-    /// Who gives the order.
+    /// The name of the sender.
     pub holder: String,
-    /// A number that never falls, so that engines can refuse an older order.
+    /// A monotonic fencing token by which engines can reject older orders.
     pub fencing_number: u64,
-    /// The count of orders that the engine must have accepted so far.
+    /// The number of orders that the engine must have accepted so far.
     ///
-    /// An order whose answer was lost may be carried out seconds later; by then
-    /// a newer one was accepted, and this makes the engine refuse it.
+    /// An order whose response was lost may reach the engine seconds later, after a
+    /// newer order was accepted. The engine then rejects it because of this count.
     pub expected_orders: u64,
-    /// The incarnation that is meant, if it is known.
+    /// The incarnation of the engine that the order is meant for, if known.
     pub incarnation: Option<Incarnation>,
 }
 
-/// What the engine said to an order.
+/// The engine's reply to an order.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum OrderReply {
-    /// It carries the order out.
+    /// The engine executes the order.
     Accepted,
-    /// The order holds already.
+    /// The order is already in effect.
     Holds,
-    /// Another order is in progress, or another one was accepted meanwhile.
+    /// Another order is in progress or has been accepted in the meantime.
     Conflict,
-    /// The weights were never named, or the order is malformed.
+    /// The weights are unknown or the order is malformed.
     Rejected(u16),
-    /// The engine has started again; what was known of it says nothing any more.
+    /// The engine has restarted, so its previously known state is obsolete.
     OtherIncarnation,
 }
 
-/// The engine gave no answer.
+/// The engine did not respond.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("the engine gave no answer: {0}; it is asked again")]
+#[error("no response from the engine: {0}; it is queried again")]
 pub struct EngineSilent(pub String);
 
-/// The engine beside this sidecar.
+/// A client of the sidecar's engine.
 pub trait Engine: Send + Sync + 'static {
-    /// Asks how the engine fares.
+    /// Queries the engine's state.
     fn report(&self) -> impl Future<Output = Result<EngineReport, EngineSilent>> + Send;
 
     /// Orders the engine to load weights.
@@ -92,13 +92,13 @@
         order: &LoadOrder,
     ) -> impl Future<Output = Result<OrderReply, EngineSilent>> + Send;
 
-    /// Waits for changes of the engine's cache after a position.
+    /// Waits for cache events after a position.
     fn cache_events(
         &self,
         since: u64,
     ) -> impl Future<Output = Result<CacheEvents, EngineSilent>> + Send;
 
-    /// Lists all that the engine's cache holds; this stalls the engine.
+    /// Lists the contents of the engine's cache; this stalls the engine.
     fn cache_listing(
         &self,
     ) -> impl Future<Output = Result<CacheListing, EngineSilent>> + Send;
--- a/crates/bilberry-steward/src/first_order.rs
+++ b/crates/bilberry-steward/src/first_order.rs
@@ -1,30 +1,31 @@
-//! From when on a sidecar that has just started may order its engine.
+//! The delay before a newly started sidecar may send orders to its engine.
 
 use std::sync::Mutex;
 
 use bilberry_core::UnixMs;
 
-/// The moment before which a sidecar gives no order.
+/// The time before which a sidecar sends no order.
 ///
-/// Until its start an entry may have ordered the engine. Engines that check no fencing
-/// tokens would obey both, so the orders of both are kept a lease time apart.
+/// Before the sidecar started, an entry may have sent orders to the engine. Engines that
+/// do not check fencing tokens would obey both, so their orders are kept a lease duration
+/// apart.
 #[derive(Debug, Default)]
 pub struct FirstOrder {
     allowed_at: Mutex<UnixMs>,
 }
 
 impl FirstOrder {
-    /// Allows orders from `allowed_at` on.
+    /// Allows orders from `allowed_at` onwards.
     pub fn at(allowed_at: UnixMs) -> Self {
         Self { allowed_at: Mutex::new(allowed_at) }
     }
 
-    /// Returns from when on orders are allowed.
+    /// Returns the time from which orders are allowed.
     pub fn allowed_at(&self) -> UnixMs {
         *self.allowed_at.lock().unwrap()
     }
 
-    /// Allows orders from now on, as nobody else gives any.
+    /// Allows orders immediately, as no other process sends any.
     pub fn allow(&self) {
         *self.allowed_at.lock().unwrap() = UnixMs(0);
     }
--- a/crates/bilberry-steward/src/lib.rs
+++ b/crates/bilberry-steward/src/lib.rs
@@ -1,8 +1,8 @@
 //! The sidecar of one engine.
 //!
-//! It asks its engine how it fares, tells the entries, and brings the engine to
-//! the newest weights. It alone gives orders to its engine as long as it runs, so no two
-//! can race.
+//! The sidecar polls its engine, publishes the engine's state to the entries, and orders
+//! the engine to load the newest weights. While it runs, it is the only process that
+//! sends orders to the engine, so orders cannot race.
 
 mod cache;
 mod crash_relay;
--- a/crates/bilberry-steward/src/metrics.rs
+++ b/crates/bilberry-steward/src/metrics.rs
@@ -12,13 +12,13 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-/// The upper bounds of the buckets for loads of weights, in seconds.
-const LOAD_BOUNDS_S: [f64; 6] = [0.25, 0.5, 1.0, 2.0, 5.0, 10.0];
+/// The upper bounds of the histogram buckets for weight loads, in seconds.
+const LOAD_BUCKETS_S: [f64; 6] = [0.25, 0.5, 1.0, 2.0, 5.0, 10.0];
 
-/// The label of the counter of orders.
+/// The label of the order counter.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OrderLabel {
-    /// What the engine said.
+    /// The outcome of the order.
     pub outcome: &'static str,
 }
 
@@ -26,25 +26,25 @@
 #[derive(Debug)]
 pub struct StewardMetrics {
     registry: Mutex<Registry>,
-    /// Orders to load weights, by what the engine said.
+    /// Orders to load weights, by outcome.
     pub orders: Family<OrderLabel, Counter>,
-    /// Loads of weights that were planned, or planned anew.
+    /// Weight loads that were planned or rescheduled.
     pub plans: Counter,
-    /// How long loads of weights took.
+    /// The duration of weight loads.
     pub load_seconds: Histogram,
-    /// Questions that the engine left unanswered.
+    /// Polls that the engine did not answer.
     pub unanswered: Counter,
-    /// Whether the engine answers, 0 or 1.
+    /// Whether the engine responds, 0 or 1.
     pub engine_up: Gauge,
-    /// Requests that run at the engine.
+    /// Requests running at the engine.
     pub running: Gauge,
-    /// Requests that wait at the engine.
+    /// Requests queued at the engine.
     pub queued: Gauge,
-    /// Tokens of the engine's memory that can't be freed now.
+    /// The engine's memory that cannot be freed at present, in tokens.
     pub used_tokens: Gauge,
-    /// Objects of the platform's store that were not understood.
+    /// Objects of the platform's store that could not be interpreted.
     pub unreadable: UnreadableObjects,
-    /// Returns of the platform's store from an older copy.
+    /// Changes of the platform store's era, which follow a restore from an older copy.
     pub era_changes: EraChanges,
 }
 
@@ -55,7 +55,7 @@
             registry: Mutex::new(Registry::with_prefix("bilberry")),
             orders: Family::default(),
             plans: Counter::default(),
-            load_seconds: Histogram::new(LOAD_BOUNDS_S),
+            load_seconds: Histogram::new(LOAD_BUCKETS_S),
             unanswered: Counter::default(),
             engine_up: Gauge::default(),
             running: Gauge::default(),
@@ -87,12 +87,12 @@
         self.era_changes.register(&mut registry);
     }
 
-    /// Counts an order.
+    /// Counts an order by its outcome.
     pub fn count_order(&self, outcome: &'static str) {
         self.orders.get_or_create(&OrderLabel { outcome }).inc();
     }
 
-    /// Returns all metrics in the text format of Prometheus.
+    /// Returns all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         render_metrics(&self.registry)
     }
--- a/crates/bilberry-steward/src/newest.rs
+++ b/crates/bilberry-steward/src/newest.rs
@@ -1,4 +1,4 @@
-//! The newest weights that a sidecar has heard of.
+//! The newest weights known to a sidecar.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -9,29 +9,29 @@
 use bilberry_core::UnixMs;
 use bilberry_wire::EntryNotice;
 
-/// What a sidecar has heard of the weights of its service.
+/// The newest weights of a service's models, and the engine's place in rollouts.
 #[derive(Debug, Default)]
 pub struct Newest {
-    heard: Mutex<Heard>,
+    known: Mutex<Known>,
 }
 
 #[derive(Debug, Default)]
-struct Heard {
+struct Known {
     weights: HashMap<Name, NamedWeights>,
     place: Option<RolloutPlace>,
 }
 
 impl Newest {
-    /// Notes that weights exist; older ones change nothing.
+    /// Records that weights exist; older versions change nothing.
     pub fn hear(&self, model: &str, version: u64, now: UnixMs) {
-        let mut heard = self.heard.lock().unwrap();
-        heard.weights.entry(model.into()).or_default().note(version, now);
+        let mut known = self.known.lock().unwrap();
+        known.weights.entry(model.into()).or_default().note(version, now);
     }
 
-    /// Takes over what an entry knows.
+    /// Records the newest weights and the rollout place that an entry reports.
     ///
-    /// A sidecar that is cut off from the platform learns of new weights from
-    /// the entries, which see them at other upstreams.
+    /// A sidecar that is cut off from the platform learns of new weights from the
+    /// entries, which see them at other upstreams.
     pub fn hear_entry(&self, notice: &EntryNotice, now: UnixMs) {
         for weights in notice.newest.iter().filter(|weights| weights.version > 0) {
             self.hear(&weights.model, weights.version, now);
@@ -39,21 +39,23 @@
         let servers = notice.servers as usize;
         let position = notice.position as usize;
         let down = notice.down as usize;
-        self.heard.lock().unwrap().place = Some(RolloutPlace { position, servers, down });
+        self.known.lock().unwrap().place = Some(RolloutPlace { position, servers, down });
     }
 
-    /// Returns the version that an engine with these weights is to load, and since
-    /// when it has lacked newer ones.
+    /// Returns the version that an engine with these weights should load, and the time
+    /// since which its weights have been outdated.
     pub fn lacking(&self, model: &str, version: u64) -> Option<(u64, UnixMs)> {
-        let heard = self.heard.lock().unwrap();
-        let weights = heard.weights.get(model)?;
+        let known = self.known.lock().unwrap();
+        let weights = known.weights.get(model)?;
         let since = weights.lacking_since(version)?;
         weights.newest().map(|(newest, _)| (newest, since))
     }
 
-    /// Returns the engine's place among those of its service.
+    /// Returns the engine's place in rollouts of its service.
+    ///
+    /// Until an entry has reported one, the engine counts as the only one.
     pub fn place(&self) -> RolloutPlace {
         let alone = RolloutPlace { position: 0, servers: 1, down: 0 };
-        self.heard.lock().unwrap().place.unwrap_or(alone)
+        self.known.lock().unwrap().place.unwrap_or(alone)
     }
 }
--- a/crates/bilberry-steward/src/prompt_stores.rs
+++ b/crates/bilberry-steward/src/prompt_stores.rs
@@ -1,8 +1,8 @@
-//! Stores of kept prompts, followed on behalf of entries.
+//! Following prompt stores on behalf of entries.
 //!
-//! A store answers few such questions at once, far fewer than there are entries.
-//! So one sidecar of each service asks, and tells the entries that are connected
-//! to it what the store holds.
+//! A store serves only few such requests concurrently, far fewer than there are entries.
+//! Therefore one sidecar of each service queries it, and publishes the contents of the
+//! store to the entries connected to the sidecar.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,30 +15,31 @@
 use crate::CacheView;
 use crate::Engine;
 
-/// The stores that some entry asks for.
+/// The stores that at least one entry has requested.
 #[derive(Debug)]
 pub struct PromptStores<E> {
-    open: fn(SocketAddr) -> E,
+    new_client: fn(SocketAddr) -> E,
     followed: Mutex<HashMap<SocketAddr, Weak<FollowedStore>>>,
 }
 
-/// One store, followed until this is dropped.
+/// A store that is followed until this handle is dropped.
 #[derive(Debug)]
 pub struct FollowedStore {
-    /// What the store holds.
+    /// The contents of the store.
     pub view: Arc<CacheView>,
-    following: JoinHandle<()>,
+    follow_task: JoinHandle<()>,
 }
 
 impl<E: Engine> PromptStores<E> {
-    /// Follows nothing yet; `open` makes a client for a store's address.
+    /// Creates a set without any store; `new_client` creates a client for the address of
+    /// a store.
     ///
-    /// A store speaks as engines do where its cache is concerned.
-    pub fn new(open: fn(SocketAddr) -> E) -> Self {
-        Self { open, followed: Mutex::default() }
+    /// The client is an [`Engine`], as stores have the same cache interface as engines.
+    pub fn new(new_client: fn(SocketAddr) -> E) -> Self {
+        Self { new_client, followed: Mutex::default() }
     }
 
-    /// Returns a store, which is followed for as long as anybody has it.
+    /// Returns a store, which is followed for as long as a handle to it exists.
     pub fn follow(&self, address: SocketAddr) -> Arc<FollowedStore> {
         let mut followed = self.followed.lock().unwrap();
         followed.retain(|_, store| store.strong_count() > 0);
@@ -46,8 +47,9 @@
             return store;
         }
         let view = Arc::new(CacheView::new());
-        let following = tokio::spawn(view.clone().follow((self.open)(address)));
-        let store = Arc::new(FollowedStore { view, following });
+        let client = (self.new_client)(address);
+        let follow_task = tokio::spawn(view.clone().follow(client));
+        let store = Arc::new(FollowedStore { view, follow_task });
         followed.insert(address, Arc::downgrade(&store));
         store
     }
@@ -55,6 +57,6 @@
 
 impl Drop for FollowedStore {
     fn drop(&mut self) {
-        self.following.abort();
+        self.follow_task.abort();
     }
 }
