--- a/crates/bilberry-steward/src/cache.rs
+++ b/crates/bilberry-steward/src/cache.rs
@@ -1,4 +1,4 @@
-//! Which parts of prompts the engine holds, as its cache events tell.
+//! The prompt parts in an engine's cache, maintained from its cache events.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -19,126 +19,131 @@
 
 use crate::Engine;
 
-/// How many batches of changes may wait for a slow entry.
+/// The number of change batches buffered for a slow entry.
 ///
-/// One that falls further behind is told everything anew.
-const BATCHES_AHEAD: usize = 64;
+/// An entry that falls further behind receives the full contents again.
+const CHANGE_BUFFER: usize = 64;
 
-/// How long to wait after a question that failed.
-const PAUSE: Duration = Duration::from_millis(200);
+/// The delay before a full listing after a failed or unusable answer.
+const RELIST_DELAY: Duration = Duration::from_millis(200);
 
-/// The least time between two questions, so that events come in batches.
-const BATCH_EVERY: Duration = Duration::from_millis(30);
+/// The delay between two requests, which lets events accumulate into batches.
+const BATCH_INTERVAL: Duration = Duration::from_millis(30);
 
-/// One change of an engine's cache.
+/// The presence of a prompt part in an engine's cache, or a change of it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CachedPart {
-    /// What keeps it apart from equal parts.
+    /// The salt that distinguishes it from equal parts.
     pub salt: String,
-    /// The part.
+    /// The identifier of the part.
     pub part: u64,
-    /// Whether it is held now.
+    /// Whether the cache holds the part now.
     pub held: bool,
 }
 
-/// What an engine's cache events said.
+/// A batch of events of an engine's cache.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CacheEvents {
-    /// Chosen anew by the engine at each start.
+    /// A value that the engine chooses at each start.
     pub epoch: u64,
-    /// From where to ask on.
+    /// The position from which to request the next events.
     pub next: u64,
-    /// Whether events are missing.
+    /// Whether events before these are missing.
     pub gap: bool,
-    /// The changes in order.
+    /// The changes in chronological order.
     pub changes: Vec<CachedPart>,
-    /// Which start of the engine this tells of, if it says so.
+    /// The incarnation of the engine that reported this, if known.
     pub incarnation: Option<Incarnation>,
 }
 
-/// All that an engine holds.
+/// The full contents of an engine's cache.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CacheListing {
-    /// Chosen anew by the engine at each start.
+    /// A value that the engine chooses at each start.
     pub epoch: u64,
-    /// From where to ask for events on.
+    /// The position from which to request events.
     pub next: u64,
-    /// The parts.
+    /// The parts in the cache.
     pub parts: Vec<CachedPart>,
-    /// Which start of the engine this tells of, if it says so.
+    /// The incarnation of the engine that reported this, if known.
     pub incarnation: Option<Incarnation>,
 }
 
-/// What the engine holds, and the entries that are told of it.
+/// A view of an engine's cache that entries subscribe to.
 #[derive(Debug)]
 pub struct CacheView {
-    held: Mutex<Held>,
+    contents: Mutex<Contents>,
     epoch: AtomicU64,
     changes: broadcast::Sender<CacheChange>,
 }
 
 /// The parts that one incarnation holds.
 #[derive(Debug, Default)]
-struct Held {
+struct Contents {
+    /// Keys of the parts that are held.
     parts: HashSet<u64>,
     incarnation: Option<Incarnation>,
 }
 
 impl CacheView {
-    /// Creates a view of an engine that holds nothing.
+    /// Creates a view of an empty cache.
     pub fn new() -> Self {
         Self {
-            held: Mutex::default(),
+            contents: Mutex::default(),
             epoch: AtomicU64::new(0),
-            changes: broadcast::Sender::new(BATCHES_AHEAD),
+            changes: broadcast::Sender::new(CHANGE_BUFFER),
         }
     }
 
-    /// Returns all that is held, and the changes from then on.
+    /// Returns the current contents, and a receiver for later changes.
     pub fn subscribe(&self) -> (CacheChange, broadcast::Receiver<CacheChange>) {
-        let held = self.held.lock().unwrap();
-        // Under the lock, so that no change falls between the two.
+        let contents = self.contents.lock().unwrap();
+        // Subscribes while holding the lock, so that no change is missed in between.
         let changes = self.changes.subscribe();
-        (held.all(), changes)
+        (contents.snapshot(), changes)
     }
 
-    /// Returns what the engine's cache chose at its start; zero while it is unknown.
+    /// Returns the epoch that the engine's cache chose at its start; zero while unknown.
     pub fn epoch(&self) -> u64 {
         self.epoch.load(Ordering::Relaxed)
     }
 
-    /// Forgets what the engine's cache chose, as it may have started anew.
-    pub fn forget_epoch(&self) {
+    /// Resets the epoch to unknown, as the engine may have restarted.
+    pub fn clear_epoch(&self) {
         self.epoch.store(0, Ordering::Relaxed);
     }
 
-    /// Returns the incarnation whose parts these are, if it is known.
+    /// Returns the incarnation that the contents belong to, if known.
     pub fn incarnation(&self) -> Option<Incarnation> {
-        self.held.lock().unwrap().incarnation
+        self.contents.lock().unwrap().incarnation
     }
 
-    /// Notes which incarnation the engine is; a later one holds nothing yet.
+    /// Records the engine's incarnation.
+    ///
+    /// A later one than before starts with an empty cache; an earlier one is ignored.
     pub fn enter(&self, incarnation: Incarnation) {
-        let mut held = self.held.lock().unwrap();
-        match Incarnation::compare(held.incarnation, Some(incarnation)) {
+        let mut contents = self.contents.lock().unwrap();
+        match Incarnation::compare(contents.incarnation, Some(incarnation)) {
             Told::Older => {}
-            Told::Same => held.incarnation = Some(incarnation),
+            Told::Same => contents.incarnation = Some(incarnation),
             Told::Newer => {
-                *held = Held { incarnation: Some(incarnation), ..Held::default() };
-                self.forget_epoch();
-                // Nobody listening is no fault.
-                let _ = self.changes.send(held.all());
+                *contents =
+                    Contents { incarnation: Some(incarnation), ..Contents::default() };
+                self.clear_epoch();
+                // Fails only if no entry is subscribed.
+                let _ = self.changes.send(contents.snapshot());
             }
         }
     }
 
-    /// Passes on what an entry says that its requests read.
+    /// Forwards an entry's notice of parts that its requests read.
     ///
-    /// Not taken into what is held: the engine's own events say that, and when it ends.
+    /// The parts are not added to the contents: the engine's own events report when they
+    /// are added and removed.
     pub fn pass_on(&self, notice: ReadingNotice) {
-        let held = self.held.lock().unwrap();
-        let meant = notice.born_ms.map(|ms| Incarnation { born_at: UnixMs(ms) });
-        if Incarnation::compare(held.incarnation, meant) != Told::Same {
+        let contents = self.contents.lock().unwrap();
+        let read_by = notice.born_ms.map(|ms| Incarnation { born_at: UnixMs(ms) });
+        if Incarnation::compare(contents.incarnation, read_by) != Told::Same {
             return;
         }
         let change = CacheChange {
@@ -147,112 +152,114 @@
             reading: notice.begun,
             ..CacheChange::default()
         };
-        // Nobody listening is no fault.
+        // Fails only if no entry is subscribed.
         let _ = self.changes.send(change);
     }
 
-    /// Follows the engine's cache for ever.
+    /// Follows the engine's cache indefinitely.
     pub async fn follow<E: Engine>(self: Arc<Self>, engine: E) {
         let mut position = None;
         loop {
-            position = match self.step(&engine, position).await {
+            position = match self.update(&engine, position).await {
                 Some(position) => {
-                    sleep(BATCH_EVERY).await;
+                    sleep(BATCH_INTERVAL).await;
                     Some(position)
                 }
                 None => {
-                    sleep(PAUSE).await;
+                    sleep(RELIST_DELAY).await;
                     None
                 }
             };
         }
     }
 
-    /// Asks once; `None` if all that is known must be learnt anew.
-    async fn step<E: Engine>(
+    /// Requests a listing or the next events, and returns the epoch and the next position.
+    ///
+    /// Returns `None` if the contents must be listed again.
+    async fn update<E: Engine>(
         &self,
         engine: &E,
         position: Option<(u64, u64)>,
     ) -> Option<(u64, u64)> {
-        let asked = self.incarnation();
+        let at_request = self.incarnation();
         let Some((epoch, since)) = position else {
             let listing = engine.cache_listing().await.ok()?;
-            let held = self.admit(asked, listing.incarnation)?;
+            let contents = self.lock_for(at_request, listing.incarnation)?;
             self.epoch.store(listing.epoch, Ordering::Relaxed);
-            self.replace(held, &listing.parts);
+            self.replace(contents, &listing.parts);
             return Some((listing.epoch, listing.next));
         };
         let events = match engine.cache_events(since).await {
             Ok(events) => events,
             Err(error) => {
                 log::info!(target: "cache", reason = error.to_string().as_str(); "events lost");
-                self.replace(self.held.lock().unwrap(), &[]);
+                self.replace(self.contents.lock().unwrap(), &[]);
                 return None;
             }
         };
         if events.gap || events.epoch != epoch {
-            log::info!(target: "cache", epoch = events.epoch, gap = events.gap; "listed anew");
+            log::info!(target: "cache", epoch = events.epoch, gap = events.gap; "listing again after a gap or an epoch change");
             return None;
         }
-        let held = self.admit(asked, events.incarnation)?;
+        let contents = self.lock_for(at_request, events.incarnation)?;
         self.epoch.store(epoch, Ordering::Relaxed);
-        self.apply(held, &events.changes);
+        self.apply(contents, &events.changes);
         Some((epoch, events.next))
     }
 
-    /// Returns what is held, if an answer tells of the same incarnation.
+    /// Locks the contents if an answer describes their incarnation.
     ///
-    /// A question waits for events up to a second, and its answer may come from
-    /// before a restart that is known by now. Taken in, it would have parts fetched
-    /// from an engine that is empty.
-    fn admit(
+    /// A request waits up to a second for events, so its answer may predate a restart that
+    /// has become known meanwhile. Applying it would make entries fetch parts from an
+    /// engine whose cache is empty.
+    fn lock_for(
         &self,
-        asked: Option<Incarnation>,
-        told: Option<Incarnation>,
-    ) -> Option<MutexGuard<'_, Held>> {
-        if let Some(told) = told {
-            self.enter(told);
+        at_request: Option<Incarnation>,
+        reported: Option<Incarnation>,
+    ) -> Option<MutexGuard<'_, Contents>> {
+        if let Some(reported) = reported {
+            self.enter(reported);
         }
-        let held = self.held.lock().unwrap();
-        let is_same = match told {
-            Some(_) => held.incarnation == told,
-            None => held.incarnation == asked,
+        let contents = self.contents.lock().unwrap();
+        let is_same = match reported {
+            Some(_) => contents.incarnation == reported,
+            None => contents.incarnation == at_request,
         };
-        is_same.then_some(held)
+        is_same.then_some(contents)
     }
 
-    fn replace(&self, mut held: MutexGuard<'_, Held>, parts: &[CachedPart]) {
+    fn replace(&self, mut contents: MutexGuard<'_, Contents>, parts: &[CachedPart]) {
         let keys = parts.iter().map(|part| part_key(&part.salt, part.part));
-        held.parts = keys.collect();
-        // Nobody listening is no fault.
-        let _ = self.changes.send(held.all());
+        contents.parts = keys.collect();
+        // Fails only if no entry is subscribed.
+        let _ = self.changes.send(contents.snapshot());
     }
 
-    fn apply(&self, mut held: MutexGuard<'_, Held>, changes: &[CachedPart]) {
+    fn apply(&self, mut contents: MutexGuard<'_, Contents>, changes: &[CachedPart]) {
         if changes.is_empty() {
             return;
         }
         let mut change =
-            CacheChange { born_ms: held.born_ms(), ..CacheChange::default() };
+            CacheChange { born_ms: contents.born_ms(), ..CacheChange::default() };
         for part in changes {
             let key = part_key(&part.salt, part.part);
             match part.held {
-                true if held.parts.insert(key) => change.added.push(key),
-                false if held.parts.remove(&key) => change.removed.push(key),
+                true if contents.parts.insert(key) => change.added.push(key),
+                false if contents.parts.remove(&key) => change.removed.push(key),
                 _ => {}
             }
         }
-        // A part that came and went within the batch stands in both lists; what
-        // is held in the end decides.
-        change.added.retain(|key| held.parts.contains(key));
-        change.removed.retain(|key| !held.parts.contains(key));
+        // A part that was both added and removed within the batch is in both lists; only
+        // its final state is sent.
+        change.added.retain(|key| contents.parts.contains(key));
+        change.removed.retain(|key| !contents.parts.contains(key));
         let _ = self.changes.send(change);
     }
 }
 
-impl Held {
-    /// Returns all parts, as a change that replaces what was told before.
-    fn all(&self) -> CacheChange {
+impl Contents {
+    /// Returns the contents as a change that replaces everything sent before.
+    fn snapshot(&self) -> CacheChange {
         CacheChange {
             reset: true,
             added: self.parts.iter().copied().collect(),
--- a/crates/bilberry-steward/src/feed.rs
+++ b/crates/bilberry-steward/src/feed.rs
@@ -1,4 +1,4 @@
-//! Telling entries how the engine fares.
+//! Publishing the engine's state to entries.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -39,37 +39,37 @@
 use crate::WatchHub;
 use crate::WatchSource;
 
-/// How often the state is repeated although nothing changed.
-const REPEAT_EVERY: Duration = Duration::from_millis(500);
+/// The interval at which an unchanged state is sent again.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The least time between two messages that only tell of other loads.
+/// The minimum interval between two messages that only update the engine's load.
 ///
-/// Ten messages a second are a few kilobytes to all entries of today's sizes;
-/// what entries sent themselves they know without them.
-const LOAD_EVERY: Duration = Duration::from_millis(100);
+/// Ten messages per second to all entries amount to a few kilobytes at present sizes.
+/// Entries already know about the requests that they sent themselves.
+const LOAD_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How many entries may listen at once.
+/// The maximum number of connected entries.
 const MAX_ENTRIES: u64 = 1_024;
 
-/// How many questions of one entry may wait; it follows three kinds.
-const MAX_QUESTIONS: usize = 8;
+/// The maximum number of pending watch requests per entry, which watches three kinds.
+const MAX_PENDING_WATCHES: usize = 8;
 
-/// What a sidecar tells entries, and from where it knows it.
+/// The data that a sidecar publishes to entries, and its sources.
 #[derive(Debug)]
 pub struct Feed<E, S, C> {
-    /// The engine's state, as it changes.
+    /// The engine's state.
     pub state: watch::Receiver<EngineState>,
-    /// What the engine holds.
+    /// The contents of the engine's cache.
     pub cache: Arc<CacheView>,
-    /// Stores of kept prompts, followed where an entry asks for one.
+    /// The prompt stores that are followed at the request of entries.
     pub stores: PromptStores<E>,
-    /// The newest weights that were heard of.
+    /// The newest known weights.
     pub newest: Arc<Newest>,
-    /// Crashes that entries report.
+    /// The crash reports of entries.
     pub crashes: CrashRelay,
-    /// The platform's store, watched for entries that ask.
+    /// Watches the platform's store on behalf of entries.
     pub hub: Arc<WatchHub<S, C>>,
-    /// The clock.
+    /// The clock for load times and reports.
     pub clock: C,
 }
 
@@ -84,79 +84,80 @@
         let (stream, address) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                log::warn!("an entry could not connect: {error}");
-                sleep(LOAD_EVERY).await;
+                log::warn!("failed to accept a connection from an entry: {error}");
+                sleep(LOAD_UPDATE_INTERVAL).await;
                 continue;
             }
         };
         if entries.load(Ordering::Relaxed) >= MAX_ENTRIES {
             continue;
         }
-        let listening = Listening::new(entries.clone());
+        let connection = ConnectionCount::new(entries.clone());
         let feed = feed.clone();
         tokio::spawn(async move {
-            if let Err(error) = tell(stream, &feed, &listening).await {
+            if let Err(error) = serve_entry(stream, &feed, &connection).await {
                 log::info!(target: "entry", address = address.to_string().as_str(), reason = error.to_string().as_str(); "lost");
             }
         });
     }
 }
 
-/// Counts one entry that listens.
-struct Listening {
+/// Counts a connected entry until it is dropped.
+struct ConnectionCount {
     entries: Arc<AtomicU64>,
 }
 
-impl Listening {
+impl ConnectionCount {
     fn new(entries: Arc<AtomicU64>) -> Self {
         entries.fetch_add(1, Ordering::Relaxed);
         Self { entries }
     }
 
-    fn count(&self) -> u64 {
+    fn total(&self) -> u64 {
         self.entries.load(Ordering::Relaxed)
     }
 }
 
-impl Drop for Listening {
+impl Drop for ConnectionCount {
     fn drop(&mut self) {
         self.entries.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-async fn tell<E: Engine, S: WatchSource, C: Clock>(
+/// Sends updates to one entry and handles its notices until it disconnects.
+async fn serve_entry<E: Engine, S: WatchSource, C: Clock>(
     stream: TcpStream,
     feed: &Feed<E, S, C>,
-    listening: &Listening,
+    connection: &ConnectionCount,
 ) -> Result<(), WireError> {
     stream.set_nodelay(true)?;
     let mut framed = Framed::new(stream, FrameCodec::new());
     let mut state = feed.state.clone();
-    let mut cache = Subscription::of(feed.cache.clone());
+    let mut cache = CacheSubscription::new(feed.cache.clone());
     let mut stores = Vec::new();
-    let mut answers = FuturesUnordered::new();
-    let mut told_born_ms = None;
+    let mut watches = FuturesUnordered::new();
+    let mut sent_born_ms = None;
     let (known_crashes, mut crashes) = feed.crashes.subscribe(feed.clock.now());
     for notice in known_crashes {
         send(&mut framed, Body::CrashNotice(notice)).await?;
     }
     loop {
-        let told = state.borrow_and_update().clone();
+        let sent = state.borrow_and_update().clone();
         let now = feed.clock.now();
-        let state_now = UpstreamState {
-            entries: listening.count(),
-            loads_in_ms: told.loads_at.map(|at| at.ms_since(now)),
-            ..told.upstream.clone()
+        let upstream = UpstreamState {
+            entries: connection.total(),
+            loads_in_ms: sent.loads_at.map(|at| at.ms_since(now)),
+            ..sent.upstream.clone()
         };
-        let born_ms = Some(state_now.born_ms);
-        send(&mut framed, Body::UpstreamState(state_now)).await?;
-        // Entries take in what is held only by an incarnation that they know.
-        if std::mem::replace(&mut told_born_ms, born_ms) != born_ms {
-            cache = Subscription::of(feed.cache.clone());
-            send(&mut framed, Body::CacheChange(cache.all())).await?;
+        let born_ms = Some(upstream.born_ms);
+        send(&mut framed, Body::UpstreamState(upstream)).await?;
+        // Entries ignore the cache contents of an incarnation that they do not know yet.
+        if std::mem::replace(&mut sent_born_ms, born_ms) != born_ms {
+            cache = CacheSubscription::new(feed.cache.clone());
+            send(&mut framed, Body::CacheChange(cache.take_snapshot())).await?;
         }
         let sent_at = Instant::now();
-        let mut next_at = sent_at + REPEAT_EVERY;
+        let mut next_at = sent_at + REFRESH_INTERVAL;
         loop {
             tokio::select! {
                 _ = sleep_until(next_at) => break,
@@ -164,15 +165,15 @@
                     if changed.is_err() {
                         return Ok(());
                     }
-                    if is_urgent(&told, &state.borrow_and_update()) {
+                    if is_urgent(&sent, &state.borrow_and_update()) {
                         break;
                     }
-                    next_at = sent_at + LOAD_EVERY;
+                    next_at = sent_at + LOAD_UPDATE_INTERVAL;
                 }
                 change = cache.next() => {
                     send(&mut framed, Body::CacheChange(change)).await?;
                 }
-                change = next_of(&mut stores) => {
+                change = next_store_change(&mut stores) => {
                     send(&mut framed, Body::StoreChange(change)).await?;
                 }
                 notice = crashes.recv() => {
@@ -188,7 +189,7 @@
                         send(&mut framed, Body::CrashNotice(notice)).await?;
                     }
                 }
-                Some(answer) = answers.next(), if !answers.is_empty() => {
+                Some(answer) = watches.next(), if !watches.is_empty() => {
                     framed.send(answer).await?;
                 }
                 frame = framed.next() => {
@@ -204,21 +205,21 @@
                             feed.crashes.merge(notice, feed.clock.now());
                             continue;
                         }
-                        Some(Body::WatchAsk(ask)) if answers.len() < MAX_QUESTIONS => {
-                            answers.push(answer(feed.hub.clone(), call, ask));
+                        Some(Body::WatchAsk(request)) if watches.len() < MAX_PENDING_WATCHES => {
+                            watches.push(answer_watch(feed.hub.clone(), call, request));
                             continue;
                         }
                         _ => continue,
                     };
                     feed.newest.hear_entry(&notice, feed.clock.now());
-                    let wanted = addresses(&notice.prompt_stores);
+                    let wanted = parse_addresses(&notice.prompt_stores);
                     stores.retain(|store: &StoreSubscription| wanted.contains(&store.address));
                     for address in wanted {
                         if stores.iter().any(|store| store.address == address) {
                             continue;
                         }
                         let mut store = StoreSubscription::new(address, &feed.stores);
-                        send(&mut framed, Body::StoreChange(store.all())).await?;
+                        send(&mut framed, Body::StoreChange(store.take_snapshot())).await?;
                         stores.push(store);
                     }
                 },
@@ -227,86 +228,87 @@
     }
 }
 
-/// Answers a question for changes of the platform's store.
-async fn answer<S: WatchSource, C: Clock>(
+/// Answers a request for changes of the platform's store.
+async fn answer_watch<S: WatchSource, C: Clock>(
     hub: Arc<WatchHub<S, C>>,
     call: u64,
-    ask: WatchAsk,
+    request: WatchAsk,
 ) -> Frame {
-    let answer: WatchAnswer = hub.answer(ask).await;
+    let answer: WatchAnswer = hub.answer(request).await;
     Frame { call, body: Some(Body::WatchAnswer(answer)), ..Frame::default() }
 }
 
-/// What one entry has been told of a cache.
-struct Subscription {
+/// The subscription of one entry to a cache.
+struct CacheSubscription {
     view: Arc<CacheView>,
-    held: Option<CacheChange>,
+    /// The contents at the start of the subscription, until they are sent.
+    snapshot: Option<CacheChange>,
     changes: broadcast::Receiver<CacheChange>,
 }
 
-impl Subscription {
-    fn of(view: Arc<CacheView>) -> Self {
-        let (held, changes) = view.subscribe();
-        Self { view, held: Some(held), changes }
+impl CacheSubscription {
+    fn new(view: Arc<CacheView>) -> Self {
+        let (snapshot, changes) = view.subscribe();
+        Self { view, snapshot: Some(snapshot), changes }
     }
 
-    /// Returns all that was held when the subscription began; empty later.
-    fn all(&mut self) -> CacheChange {
-        self.held.take().unwrap_or_default()
+    /// Returns the contents at the start of the subscription; empty on later calls.
+    fn take_snapshot(&mut self) -> CacheChange {
+        self.snapshot.take().unwrap_or_default()
     }
 
-    /// Returns the next change, or everything anew if too many were missed.
+    /// Returns the next change, or the full contents if changes were missed.
     async fn next(&mut self) -> CacheChange {
         match self.changes.recv().await {
             Ok(change) => change,
             Err(_) => {
-                *self = Self::of(self.view.clone());
-                self.all()
+                *self = Self::new(self.view.clone());
+                self.take_snapshot()
             }
         }
     }
 }
 
-/// A store that one entry is told of.
+/// The subscription of one entry to a prompt store.
 struct StoreSubscription {
     address: SocketAddr,
-    parts: Subscription,
-    /// Keeps the store followed.
+    cache: CacheSubscription,
+    /// Keeps the store followed while the subscription exists.
     _store: Arc<FollowedStore>,
 }
 
 impl StoreSubscription {
     fn new<E: Engine>(address: SocketAddr, stores: &PromptStores<E>) -> Self {
         let store = stores.follow(address);
-        Self { address, parts: Subscription::of(store.view.clone()), _store: store }
+        Self { address, cache: CacheSubscription::new(store.view.clone()), _store: store }
     }
 
-    /// Returns all that the store held when the subscription began.
-    fn all(&mut self) -> StoreChange {
-        let change = self.parts.all();
-        self.told(change)
+    /// Returns the contents of the store at the start of the subscription.
+    fn take_snapshot(&mut self) -> StoreChange {
+        let change = self.cache.take_snapshot();
+        self.store_change(change)
     }
 
     async fn next(&mut self) -> StoreChange {
-        let change = self.parts.next().await;
-        self.told(change)
+        let change = self.cache.next().await;
+        self.store_change(change)
     }
 
-    fn told(&self, change: CacheChange) -> StoreChange {
+    fn store_change(&self, change: CacheChange) -> StoreChange {
         StoreChange { store: self.address.to_string(), change: Some(change) }
     }
 }
 
-/// Waits for the next change of any store; for ever where none is followed.
-async fn next_of(stores: &mut [StoreSubscription]) -> StoreChange {
+/// Waits for the next change of any store; never returns if there are no stores.
+async fn next_store_change(stores: &mut [StoreSubscription]) -> StoreChange {
     if stores.is_empty() {
         return std::future::pending().await;
     }
     select_all(stores.iter_mut().map(|store| Box::pin(store.next()))).await.0
 }
 
-/// Reads the addresses of stores; what is no address names none.
-fn addresses(texts: &[String]) -> Vec<SocketAddr> {
+/// Parses the addresses of stores and ignores invalid ones.
+fn parse_addresses(texts: &[String]) -> Vec<SocketAddr> {
     texts.iter().filter_map(|text| text.parse().ok()).collect()
 }
 
@@ -317,12 +319,13 @@
     framed.send(Frame { body: Some(body), ..Frame::default() }).await
 }
 
-/// Reports whether entries must know at once, as they would send work in vain.
+/// Returns whether a change must be sent at once, as entries would otherwise send
+/// requests that the engine cannot serve.
 fn is_urgent(before: &EngineState, now: &EngineState) -> bool {
     let urgent = |state: &EngineState| {
         let EngineState { upstream, loads_at } = state;
-        let start = (upstream.cache_epoch, upstream.born_ms);
-        (upstream.up, upstream.loading, upstream.leaving, start, *loads_at)
+        let incarnation = (upstream.cache_epoch, upstream.born_ms);
+        (upstream.up, upstream.loading, upstream.leaving, incarnation, *loads_at)
     };
     urgent(before) != urgent(now) || before.upstream.models != now.upstream.models
 }
--- a/crates/bilberry-steward/src/steward.rs
+++ b/crates/bilberry-steward/src/steward.rs
@@ -1,4 +1,4 @@
-//! Following one engine and bringing it to the newest weights.
+//! Polling an engine and ordering it to load the newest weights.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,32 +26,32 @@
 use crate::StewardMetrics;
 use crate::SwapMode;
 
-/// How often the engine is asked how it fares.
-const ASK_EVERY: Duration = Duration::from_millis(40);
+/// The interval between polls of the engine.
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// How long an answer of the engine is waited for.
-const ASK: Duration = Duration::from_millis(250);
+/// The timeout of polls and orders.
+const ENGINE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How many questions in a row go unanswered before the engine counts as down.
-const SILENT_QUESTIONS: u32 = 2;
+/// The number of consecutive failed polls after which the engine counts as down.
+const FAILED_POLLS_UNTIL_DOWN: u32 = 2;
 
-/// For how long before a load the engine gets no new work.
+/// How long before a load the engine stops receiving new work.
 ///
-/// Short answers end in this time; what still runs goes on with new weights and
-/// loses the worth of what it generates after that.
+/// Short requests complete in this time. Requests that still run afterwards continue on
+/// the new weights, and what they generate from then on is of no value.
 const DRAIN_MS: u64 = 250;
 
-/// How long to wait after an order that failed.
-const ORDER_PAUSE_MS: u64 = 150;
+/// The delay after an order that the engine accepted or that had no effect.
+const ORDER_DELAY_MS: u64 = 150;
 
-/// How long to wait after an order without an answer.
+/// The delay after an order that was rejected or got no reply.
 ///
-/// It may have been accepted, or be carried out seconds later. The same order may
-/// follow at once all the same: both name the count of orders that they expect,
-/// so the engine carries out one of them.
-const ORDER_DOUBT_MS: u64 = 100;
+/// An order without a reply may have been accepted, or may be executed seconds later. A
+/// retry does not have to wait for that: both orders carry the same expected order count,
+/// so the engine executes only one of them.
+const ORDER_RETRY_DELAY_MS: u64 = 100;
 
-/// One engine, followed by its sidecar.
+/// Polls one engine, publishes its state and orders it to load weights.
 #[derive(Debug)]
 pub struct Steward<E, C> {
     engine: E,
@@ -66,57 +66,61 @@
     pub metrics: StewardMetrics,
 }
 
-/// What a steward tells of its engine.
+/// The engine state that a steward publishes.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EngineState {
-    /// How the engine fares.
+    /// The state that is sent to entries.
     pub upstream: UpstreamState,
-    /// When it begins to load weights, if that is planned.
+    /// When the engine starts to load weights, if a load is planned.
     pub loads_at: Option<UnixMs>,
 }
 
-/// What a steward remembers from one look to the next.
+/// State kept between polls.
 #[derive(Debug)]
-struct Progress {
-    /// The incarnation that all of this is about, if it is known.
+struct PollState {
+    /// The incarnation that the other fields refer to, if known.
     incarnation: Option<Incarnation>,
     rollout: Rollout,
-    unanswered: u32,
-    ordered: Option<Ordered>,
-    planned: Option<Planned>,
-    not_before: UnixMs,
+    failed_polls: u32,
+    /// The accepted order whose load has not completed yet.
+    accepted_order: Option<AcceptedOrder>,
+    /// The most recently logged plan.
+    plan: Option<LoadPlan>,
+    next_order_at: UnixMs,
 }
 
-impl Progress {
+impl PollState {
     fn new(weights_bound_ms: Option<u64>) -> Self {
         Self {
             incarnation: None,
             rollout: Rollout::new(weights_bound_ms),
-            unanswered: 0,
-            ordered: None,
-            planned: None,
-            not_before: UnixMs(0),
+            failed_polls: 0,
+            accepted_order: None,
+            plan: None,
+            next_order_at: UnixMs(0),
         }
     }
 }
 
-/// A load that was planned.
+/// The version and start of a planned load.
 #[derive(Debug, PartialEq, Eq)]
-struct Planned {
+struct LoadPlan {
     version: u64,
     starts_at: UnixMs,
 }
 
-/// An order that was given.
+/// An order that the engine accepted.
 #[derive(Debug)]
-struct Ordered {
+struct AcceptedOrder {
     version: u64,
-    at: UnixMs,
+    sent_at: UnixMs,
 }
 
 impl<E: Engine, C: Clock> Steward<E, C> {
-    /// Creates a steward; `holder` names this host in orders, and nothing may begin on
-    /// older weights after `weights_bound_ms`.
+    /// Creates a steward.
+    ///
+    /// `holder` names this host in orders. `weights_bound_ms` is the time after which no
+    /// request may start on older weights.
     pub fn new(
         engine: E,
         clock: C,
@@ -138,33 +142,33 @@
         }
     }
 
-    /// Gives no order before `first_order` allows it.
+    /// Sends no order before `first_order` allows it.
     pub fn after(self, first_order: Arc<FirstOrder>) -> Self {
         Self { first_order, ..self }
     }
 
-    /// Returns the engine's state, as it changes.
+    /// Subscribes to the engine's state.
     pub fn state(&self) -> watch::Receiver<EngineState> {
         self.state.subscribe()
     }
 
-    /// Follows the engine for ever.
+    /// Polls the engine indefinitely.
     pub async fn run(self: Arc<Self>) {
-        let mut progress = Progress::new(self.weights_bound_ms);
+        let mut state = PollState::new(self.weights_bound_ms);
         loop {
-            match self.ask().await {
-                Some(report) if self.is_of_present(&report, &mut progress) => {
-                    self.note_answer(&mut progress);
-                    self.step(&report, &mut progress).await;
+            match self.poll().await {
+                Some(report) if self.admit_report(&report, &mut state) => {
+                    self.record_response(&mut state);
+                    self.process_report(&report, &mut state).await;
                 }
-                _ => self.note_silence(&mut progress),
+                _ => self.record_failed_poll(&mut state),
             }
-            sleep(ASK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn ask(&self) -> Option<EngineReport> {
-        match timeout(ASK, self.engine.report()).await {
+    async fn poll(&self) -> Option<EngineReport> {
+        match timeout(ENGINE_TIMEOUT, self.engine.report()).await {
             Ok(Ok(report)) => Some(report),
             Ok(Err(error)) => {
                 log::debug!("{error}");
@@ -174,178 +178,193 @@
         }
     }
 
-    /// Reports whether an answer is not of an incarnation that is over; a later one
-    /// has all that was known forgotten.
+    /// Returns whether a report is from the current or a new incarnation of the engine.
     ///
-    /// Weights, orders and pauses of the earlier start would have entries send what
-    /// is refused, and orders wait for a load that nobody carries out.
-    fn is_of_present(&self, report: &EngineReport, progress: &mut Progress) -> bool {
-        let told = Incarnation::compare(progress.incarnation, report.incarnation);
-        if told == Told::Newer {
+    /// A new incarnation resets the state. With the weights, orders and delays of the
+    /// previous one, entries would send requests that the engine refuses, and orders would
+    /// wait for a load that is never executed.
+    fn admit_report(&self, report: &EngineReport, state: &mut PollState) -> bool {
+        let relation = Incarnation::compare(state.incarnation, report.incarnation);
+        if relation == Told::Newer {
             log::info!(target: "engine", running = report.running, orders = report.orders; "started again");
-            *progress = Progress::new(self.weights_bound_ms);
+            *state = PollState::new(self.weights_bound_ms);
         }
-        if told != Told::Older {
-            progress.incarnation = report.incarnation.or(progress.incarnation);
+        if relation != Told::Older {
+            state.incarnation = report.incarnation.or(state.incarnation);
         }
-        told != Told::Older
+        relation != Told::Older
     }
 
-    fn note_answer(&self, progress: &mut Progress) {
-        if progress.unanswered >= SILENT_QUESTIONS {
-            log::info!(target: "engine", questions = progress.unanswered; "answers again");
+    fn record_response(&self, state: &mut PollState) {
+        if state.failed_polls >= FAILED_POLLS_UNTIL_DOWN {
+            log::info!(target: "engine", questions = state.failed_polls; "answers again");
         }
-        progress.unanswered = 0;
+        state.failed_polls = 0;
     }
 
-    fn note_silence(&self, progress: &mut Progress) {
-        progress.unanswered += 1;
+    fn record_failed_poll(&self, state: &mut PollState) {
+        state.failed_polls += 1;
         self.metrics.unanswered.inc();
-        if progress.unanswered == SILENT_QUESTIONS {
-            log::warn!(target: "engine", questions = progress.unanswered; "is down");
-            progress.ordered = None;
-            // Where engines don't tell their start, entries learn from the epoch
-            // whether the engine they knew is the one that answers next.
-            self.cache.forget_epoch();
+        if state.failed_polls == FAILED_POLLS_UNTIL_DOWN {
+            log::warn!(target: "engine", questions = state.failed_polls; "is down");
+            state.accepted_order = None;
+            // If engines do not report their incarnation, entries detect a restart from
+            // the epoch once the engine responds again.
+            self.cache.clear_epoch();
             self.metrics.engine_up.set(0);
-            self.publish(|state| state.upstream.up = false);
+            self.publish(|published| published.upstream.up = false);
         }
     }
 
-    /// Looks at one report: gives an order if one is due, and tells the entries.
-    async fn step(&self, report: &EngineReport, progress: &mut Progress) {
+    /// Publishes the state in a report, and sends an order if a load is due.
+    async fn process_report(&self, report: &EngineReport, state: &mut PollState) {
         let now = self.clock.now();
-        let due = self.due(report, progress);
-        self.note_plan(report, due.as_ref(), progress, now);
-        let loading = report.busy || due.as_ref().is_some_and(|due| due.is_near(now));
+        let next_load = self.next_load(report, state);
+        self.record_plan(report, next_load.as_ref(), state, now);
+        let loading =
+            report.busy || next_load.as_ref().is_some_and(|load| load.is_imminent(now));
         self.metrics.engine_up.set(1);
         self.metrics.running.set(report.running as i64);
         self.metrics.queued.set(report.queued as i64);
         self.metrics.used_tokens.set(report.used_tokens as i64);
-        self.publish(|state| {
-            state.loads_at = due.as_ref().map(|due| due.starts_at);
-            let state = &mut state.upstream;
-            state.up = true;
-            state.cache_epoch = self.cache.epoch();
-            state.born_ms = progress.incarnation.map(|started| started.born_at.0);
-            state.leaving = report.is_leaving;
-            state.loading = loading;
-            state.models = report.models.clone();
-            state.running = report.running;
-            state.queued = report.queued;
-            state.used_tokens = report.used_tokens;
-            state.total_tokens = report.total_tokens;
+        self.publish(|published| {
+            published.loads_at = next_load.as_ref().map(|load| load.starts_at);
+            let upstream = &mut published.upstream;
+            upstream.up = true;
+            upstream.cache_epoch = self.cache.epoch();
+            upstream.born_ms = state.incarnation.map(|current| current.born_at.0);
+            upstream.leaving = report.is_leaving;
+            upstream.loading = loading;
+            upstream.models = report.models.clone();
+            upstream.running = report.running;
+            upstream.queued = report.queued;
+            upstream.used_tokens = report.used_tokens;
+            upstream.total_tokens = report.total_tokens;
         });
-        if let Some(incarnation) = progress.incarnation {
+        if let Some(incarnation) = state.incarnation {
             self.cache.enter(incarnation);
         }
-        self.note_loaded(report, progress, now);
-        let waiting = report.queued;
-        let begins = |due: &Due| {
-            due.starts_at <= now && may_begin_load(due.planned_at, waiting, now)
+        self.record_completed_load(report, state, now);
+        let queued = report.queued;
+        let is_due = |load: &NextLoad| {
+            load.starts_at <= now && may_begin_load(load.planned_at, queued, now)
         };
-        if let Some(due) = due.filter(|due| !report.busy && begins(due)) {
-            self.order(report, &due, progress).await;
+        if let Some(load) = next_load.filter(|load| !report.busy && is_due(load)) {
+            self.send_order(report, &load, state).await;
         }
     }
 
-    /// Returns the load that the engine still lacks.
+    /// Returns the load that brings outdated weights of the engine up to date.
     ///
-    /// Its turn counts from the first naming that it missed, and it takes the newest
-    /// weights then. With turns that begin anew at each naming, an engine late in the
-    /// order has none for as long as weights are named faster than a rollout takes.
-    fn due(&self, report: &EngineReport, progress: &Progress) -> Option<Due> {
-        let lacking = |has: &ModelVersion| {
-            let (version, since) = self.newest.lacking(&has.model, has.version)?;
-            let weights = ModelVersion { model: has.model.clone(), version };
-            let planned_at = progress.rollout.starts_at(since, self.newest.place());
-            let starts_at = planned_at.max(progress.not_before);
+    /// The load is scheduled from the first version that the engine missed, and loads the
+    /// newest version by then. If each new version restarted the schedule, an engine late
+    /// in the rollout order would never load while versions are announced faster than a
+    /// rollout takes.
+    fn next_load(&self, report: &EngineReport, state: &PollState) -> Option<NextLoad> {
+        let load_for = |served: &ModelVersion| {
+            let (version, since) = self.newest.lacking(&served.model, served.version)?;
+            let weights = ModelVersion { model: served.model.clone(), version };
+            let planned_at = state.rollout.starts_at(since, self.newest.place());
+            let starts_at = planned_at.max(state.next_order_at);
             let starts_at = starts_at.max(self.first_order.allowed_at());
-            Some(Due { weights, planned_at, starts_at, lacking_since: since })
+            Some(NextLoad { weights, planned_at, starts_at, outdated_since: since })
         };
-        report.models.iter().find_map(lacking)
+        report.models.iter().find_map(load_for)
     }
 
-    /// Logs when a load was planned, and when it was planned anew.
-    fn note_plan(
+    /// Logs and counts a load that was planned or rescheduled.
+    fn record_plan(
         &self,
         report: &EngineReport,
-        due: Option<&Due>,
-        progress: &mut Progress,
+        next_load: Option<&NextLoad>,
+        state: &mut PollState,
         now: UnixMs,
     ) {
-        let planned = due.map(|due| Planned {
-            version: due.weights.version,
-            starts_at: due.planned_at,
+        let plan = next_load.map(|load| LoadPlan {
+            version: load.weights.version,
+            starts_at: load.planned_at,
         });
-        if planned == progress.planned {
+        if plan == state.plan {
             return;
         }
-        if let Some(planned) = &planned {
+        if let Some(plan) = &plan {
             let place = self.newest.place();
             self.metrics.plans.inc();
             log::info!(
                 target: "weights",
-                version = planned.version,
-                has = report.models.iter().map(|has| has.version).max().unwrap_or_default(),
-                in_ms = planned.starts_at.ms_since(now),
+                version = plan.version,
+                has = report.models.iter().map(|m| m.version).max().unwrap_or_default(),
+                in_ms = plan.starts_at.ms_since(now),
                 position = place.position as u64,
                 servers = place.servers as u64,
                 down = place.down as u64;
                 "load planned"
             );
         }
-        progress.planned = planned;
+        state.plan = plan;
     }
 
-    fn note_loaded(&self, report: &EngineReport, progress: &mut Progress, now: UnixMs) {
-        let has = |version: u64| report.models.iter().any(|m| m.version >= version);
-        let done = progress.ordered.as_ref().filter(|o| !report.busy && has(o.version));
-        if let Some(ordered) = done {
-            let load_ms = now.ms_since(ordered.at);
-            log::info!(target: "weights", version = ordered.version, load_ms; "loaded");
+    fn record_completed_load(
+        &self,
+        report: &EngineReport,
+        state: &mut PollState,
+        now: UnixMs,
+    ) {
+        let serves = |version: u64| report.models.iter().any(|m| m.version >= version);
+        let is_completed = |order: &&AcceptedOrder| !report.busy && serves(order.version);
+        if let Some(order) = state.accepted_order.as_ref().filter(is_completed) {
+            let load_ms = now.ms_since(order.sent_at);
+            log::info!(target: "weights", version = order.version, load_ms; "loaded");
             self.metrics.load_seconds.observe(load_ms as f64 / 1_000.0);
-            progress.rollout.measure(load_ms);
-            progress.ordered = None;
+            state.rollout.measure(load_ms);
+            state.accepted_order = None;
         }
     }
 
-    async fn order(&self, report: &EngineReport, due: &Due, progress: &mut Progress) {
+    async fn send_order(
+        &self,
+        report: &EngineReport,
+        load: &NextLoad,
+        state: &mut PollState,
+    ) {
         let now = self.clock.now();
         let order = LoadOrder {
-            weights: due.weights.clone(),
+            weights: load.weights.clone(),
             mode: SwapMode::Continue,
             holder: self.holder.clone(),
-            // Versions only grow, also over restarts of this process, which
-            // keeps nothing; so the number never falls.
-            fencing_number: sidecar_fence(due.weights.version),
+            // Versions only increase, also across restarts of this process, which
+            // persists no state. The fencing token therefore never decreases.
+            fencing_number: sidecar_fence(load.weights.version),
             expected_orders: report.orders,
-            incarnation: progress.incarnation,
+            incarnation: state.incarnation,
         };
-        let reply = timeout(ASK, self.engine.load(&order)).await;
-        let (outcome, pause_ms) = match &reply {
-            Ok(Ok(OrderReply::Accepted)) => ("accepted", ORDER_PAUSE_MS),
-            Ok(Ok(OrderReply::Holds)) => ("holds", ORDER_PAUSE_MS),
-            Ok(Ok(OrderReply::Conflict)) => ("conflict", ORDER_PAUSE_MS),
-            Ok(Ok(OrderReply::OtherIncarnation)) => ("other_incarnation", ORDER_DOUBT_MS),
-            Ok(Ok(OrderReply::Rejected(_))) => ("rejected", ORDER_DOUBT_MS),
-            Ok(Err(_)) | Err(_) => ("no_answer", ORDER_DOUBT_MS),
+        let reply = timeout(ENGINE_TIMEOUT, self.engine.load(&order)).await;
+        let (outcome, delay_ms) = match &reply {
+            Ok(Ok(OrderReply::Accepted)) => ("accepted", ORDER_DELAY_MS),
+            Ok(Ok(OrderReply::Holds)) => ("holds", ORDER_DELAY_MS),
+            Ok(Ok(OrderReply::Conflict)) => ("conflict", ORDER_DELAY_MS),
+            Ok(Ok(OrderReply::OtherIncarnation)) => {
+                ("other_incarnation", ORDER_RETRY_DELAY_MS)
+            }
+            Ok(Ok(OrderReply::Rejected(_))) => ("rejected", ORDER_RETRY_DELAY_MS),
+            Ok(Err(_)) | Err(_) => ("no_answer", ORDER_RETRY_DELAY_MS),
         };
         self.metrics.count_order(outcome);
         log::info!(
             target: "weights",
-            model = due.weights.model.as_str(),
-            version = due.weights.version,
+            model = load.weights.model.as_str(),
+            version = load.weights.version,
             expected = report.orders,
             running = report.running,
             queued = report.queued,
-            lacking_ms = now.ms_since(due.lacking_since);
+            lacking_ms = now.ms_since(load.outdated_since);
             "order {outcome}"
         );
-        progress.not_before = now.plus_ms(pause_ms);
+        state.next_order_at = now.plus_ms(delay_ms);
         if matches!(reply, Ok(Ok(OrderReply::Accepted))) {
-            progress.ordered = Some(Ordered { version: due.weights.version, at: now });
-            self.publish(|state| state.upstream.loading = true);
+            let version = load.weights.version;
+            state.accepted_order = Some(AcceptedOrder { version, sent_at: now });
+            self.publish(|published| published.upstream.loading = true);
         }
     }
 
@@ -358,20 +377,20 @@
     }
 }
 
-/// A load that is to come.
+/// The next load of newer weights.
 #[derive(Debug)]
-struct Due {
+struct NextLoad {
     weights: ModelVersion,
-    /// When its turn comes.
+    /// When the rollout schedules the load.
     planned_at: UnixMs,
-    /// The same, unless an order that failed has to be waited for.
+    /// `planned_at`, or later if no order may be sent yet.
     starts_at: UnixMs,
-    /// When the first weights were named that the engine lacks.
-    lacking_since: UnixMs,
+    /// When the first version that the engine lacks was announced.
+    outdated_since: UnixMs,
 }
 
-impl Due {
-    fn is_near(&self, now: UnixMs) -> bool {
+impl NextLoad {
+    fn is_imminent(&self, now: UnixMs) -> bool {
         self.starts_at <= now.plus_ms(DRAIN_MS)
     }
 }
