--- a/crates/bilberry-steward/src/watch_hub.rs
+++ b/crates/bilberry-steward/src/watch_hub.rs
@@ -1,8 +1,8 @@
 //! Watching the platform's store on behalf of entries.
 //!
-//! Entries that follow the store each for itself make some 140 calls a second where 68
-//! of them stand before 78 engines. The first of them that asks has this process watch;
-//! whoever asks for the same meanwhile is told what that one watch brings.
+//! If each entry watches the store itself, 68 entries with 78 engines make some 140 calls
+//! per second. Instead, the first request for a kind of object starts a watch in this
+//! process, and all requests for the same kind share its results.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -25,49 +25,49 @@
 use tokio::sync::broadcast;
 use tokio::time::sleep;
 
-/// How long to wait after a call that failed.
-const PAUSE: Duration = Duration::from_millis(120);
+/// The delay before a failed call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(120);
 
-/// For how long a kind is watched after the last question for it.
+/// How long a kind is watched after the last request for it.
 ///
-/// Askers ask again as soon as they are answered; who has not for so long is gone, or
-/// has found another hub.
-const IDLE_MS: u64 = 5_000;
+/// Clients send the next request as soon as the previous one is answered. A client that
+/// has sent none for this long is gone or uses another hub.
+const IDLE_TIMEOUT_MS: u64 = 5_000;
 
-/// How many outcomes an asker may lag behind.
+/// The number of outcomes buffered for a client.
 ///
-/// An asker takes each outcome at once; one that lags asks the store itself.
-const OUTCOMES_AHEAD: usize = 16;
+/// Clients receive outcomes immediately; one that falls behind queries the store itself.
+const OUTCOME_BUFFER: usize = 16;
 
-/// How many kinds are watched at most; entries follow three.
+/// The maximum number of watched kinds; entries watch three.
 ///
-/// A bound against whatever else may connect and ask.
-const MAX_KINDS: usize = 8;
+/// Limits the load that other clients can cause.
+const MAX_WATCHED_KINDS: usize = 8;
 
-/// What a call to the store brought.
+/// The result of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SourceAnswer {
-    /// Nothing changed; all is told up to this position.
+    /// Nothing changed up to this position.
     Quiet(StorePosition),
     /// Something changed.
     News {
-        /// The position up to which all is told.
+        /// The position up to which the changes are complete.
         position: StorePosition,
-        /// The changes, as the store sent them.
+        /// The changes in the encoding of the store.
         changes: Bytes,
     },
-    /// The store no longer knows what followed the revision.
+    /// The store no longer has the history after the revision.
     HistoryLost,
 }
 
-/// The store did not answer in a way that can be passed on.
+/// The store did not give a usable answer.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("the store does not answer: {0}; entries ask it themselves meanwhile")]
+#[error("the store does not answer: {0}; entries query it directly in the meantime")]
 pub struct SourceLost(pub String);
 
-/// The port to the platform's store.
+/// A client of the platform's store.
 pub trait WatchSource: Clone + Send + Sync + 'static {
-    /// Waits up to `wait_ms` for changes of a kind after a revision.
+    /// Waits up to `wait_ms` for changes of a kind of object after a revision.
     fn watch(
         &self,
         kind: &str,
@@ -76,175 +76,180 @@
     ) -> impl Future<Output = Result<SourceAnswer, SourceLost>> + Send;
 }
 
-/// Watches kinds of objects for as long as somebody asks.
+/// Watches kinds of objects while clients request their changes.
 #[derive(Debug)]
 pub struct WatchHub<S, C> {
     source: S,
     clock: C,
-    kinds: Mutex<HashMap<Name, SharedKind>>,
+    watches: Mutex<HashMap<Name, SharedWatch>>,
 }
 
-/// One kind that is watched.
+/// The watch of one kind of object.
 #[derive(Debug)]
-struct SharedKind {
-    /// From here on nothing has changed, as far as is told.
-    quiet_from: StorePosition,
-    /// The last change told.
+struct SharedWatch {
+    /// The position since which no change has been reported.
+    unchanged_since: StorePosition,
+    /// The last reported change.
     ///
-    /// An entry asks anew after each answer, and a change may come in between. One that
-    /// can't reach the store itself would never hear of it.
-    last_news: Option<LastNews>,
+    /// A change may arrive after an entry was answered and before it sends its next
+    /// request. An entry that cannot reach the store itself would miss it permanently.
+    last_change: Option<LastChange>,
     /// Whether the last call failed.
     failing: bool,
-    /// What the last asker wanted.
-    ask: WatchAsk,
-    asked_at: UnixMs,
+    /// The most recent request.
+    request: WatchAsk,
+    requested_at: UnixMs,
     outcomes: broadcast::Sender<Outcome>,
 }
 
-/// The last change told, and the position from which nothing had changed before it.
+/// The last reported change, and the position since which there was none before it.
 #[derive(Debug)]
-struct LastNews {
-    quiet_from: StorePosition,
-    brought: Brought<Bytes>,
+struct LastChange {
+    unchanged_since: StorePosition,
+    update: Brought<Bytes>,
 }
 
-impl SharedKind {
-    /// Tells an asker that is behind the last change, if it lacks no other.
-    fn tell_last(&self, question: WatchQuestion) -> WatchAnswer {
-        let lacks_no_other = |last: &&LastNews| !question.is_behind(last.quiet_from);
-        let last = self.last_news.as_ref().filter(lacks_no_other);
-        let heard = last.and_then(|last| question.hear(&last.brought));
-        into_answer(heard.unwrap_or(WatchReply::OutOfStep))
+impl SharedWatch {
+    /// Answers a client that lags with the last change, if it has missed no other.
+    fn answer_with_last_change(&self, question: WatchQuestion) -> WatchAnswer {
+        let missed_no_other =
+            |last: &&LastChange| !question.is_behind(last.unchanged_since);
+        let last = self.last_change.as_ref().filter(missed_no_other);
+        let reply = last.and_then(|last| question.hear(&last.update));
+        into_answer(reply.unwrap_or(WatchReply::OutOfStep))
     }
 }
 
-/// What came of one call, for all who wait.
+/// The outcome of a call, sent to all waiting clients.
 #[derive(Debug, Clone)]
 enum Outcome {
-    Brought(Brought<Bytes>),
+    Update(Brought<Bytes>),
     HistoryLost,
-    Lost,
+    Failed,
 }
 
-/// How to make the next call.
-struct Terms {
+/// The parameters of a call to the store.
+struct CallParams {
     wait_ms: u64,
     spacing_ms: u64,
 }
 
 impl<S: WatchSource, C: Clock> WatchHub<S, C> {
-    /// Watches nothing yet.
+    /// Creates a hub without any watches.
     pub fn new(source: S, clock: C) -> Self {
-        Self { source, clock, kinds: Mutex::default() }
+        Self { source, clock, watches: Mutex::default() }
     }
 
-    /// Answers a question once there is something to say.
-    pub async fn answer(self: Arc<Self>, ask: WatchAsk) -> WatchAnswer {
+    /// Answers a request once a call to the store has an outcome for it.
+    pub async fn answer(self: Arc<Self>, request: WatchAsk) -> WatchAnswer {
         let arrived_at = self.clock.now();
-        let question = WatchQuestion { position: ask.position(), arrived_at };
-        let mut outcomes = match self.join(ask, question) {
+        let question = WatchQuestion { position: request.position(), arrived_at };
+        let mut outcomes = match self.subscribe(request, question) {
             Ok(outcomes) => outcomes,
             Err(answer) => return answer,
         };
         loop {
-            let heard = match outcomes.recv().await {
-                Ok(Outcome::Brought(brought)) => question.hear(&brought),
-                Ok(Outcome::Lost) => return without_news(WatchOutcome::Lost),
+            let reply = match outcomes.recv().await {
+                Ok(Outcome::Update(update)) => question.hear(&update),
+                Ok(Outcome::Failed) => return answer_without_changes(WatchOutcome::Lost),
                 Ok(Outcome::HistoryLost) | Err(_) => Some(WatchReply::OutOfStep),
             };
-            if let Some(reply) = heard {
+            if let Some(reply) = reply {
                 return into_answer(reply);
             }
         }
     }
 
-    /// Has the kind watched; returns what will come of the calls, or what can be told
-    /// at once.
-    fn join(
+    /// Subscribes to the watch of a kind and starts it if there is none.
+    ///
+    /// Returns an answer instead if the request can be answered immediately.
+    fn subscribe(
         self: &Arc<Self>,
-        ask: WatchAsk,
+        request: WatchAsk,
         question: WatchQuestion,
     ) -> Result<broadcast::Receiver<Outcome>, WatchAnswer> {
-        let mut kinds = self.kinds.lock().unwrap();
-        let kind = Name::from(&ask.kind);
-        let is_full = kinds.len() >= MAX_KINDS;
-        match kinds.get_mut(&kind) {
+        let mut watches = self.watches.lock().unwrap();
+        let kind = Name::from(&request.kind);
+        let is_full = watches.len() >= MAX_WATCHED_KINDS;
+        match watches.get_mut(&kind) {
             Some(shared) => {
-                shared.asked_at = question.arrived_at;
-                shared.ask = ask;
+                shared.requested_at = question.arrived_at;
+                shared.request = request;
                 match () {
-                    // Known to be in vain: the asker is not to wait for a call that
-                    // fails as well.
-                    () if shared.failing => Err(without_news(WatchOutcome::Lost)),
-                    // It can't learn of the era from the store either. Sent there, it
-                    // would ask in turn there and here without a pause.
-                    () if question.knows_no_era_of(shared.quiet_from) => {
-                        Err(without_news(WatchOutcome::Lost))
+                    // The last call failed, so the client should not wait for another
+                    // call that is likely to fail.
+                    () if shared.failing => {
+                        Err(answer_without_changes(WatchOutcome::Lost))
+                    }
+                    // The client does not support eras, so it could not learn the era
+                    // from the store either. It would alternate between the store and
+                    // this hub without a delay.
+                    () if question.knows_no_era_of(shared.unchanged_since) => {
+                        Err(answer_without_changes(WatchOutcome::Lost))
                     }
-                    () if question.is_behind(shared.quiet_from) => {
-                        Err(shared.tell_last(question))
+                    () if question.is_behind(shared.unchanged_since) => {
+                        Err(shared.answer_with_last_change(question))
                     }
                     () => Ok(shared.outcomes.subscribe()),
                 }
             }
-            None if is_full => Err(without_news(WatchOutcome::Lost)),
+            None if is_full => Err(answer_without_changes(WatchOutcome::Lost)),
             None => {
-                let (outcomes, heard) = broadcast::channel(OUTCOMES_AHEAD);
+                let (outcomes, receiver) = broadcast::channel(OUTCOME_BUFFER);
                 let position = question.position;
-                let shared = SharedKind {
-                    quiet_from: position,
-                    last_news: None,
+                let shared = SharedWatch {
+                    unchanged_since: position,
+                    last_change: None,
                     failing: false,
-                    ask,
-                    asked_at: question.arrived_at,
+                    request,
+                    requested_at: question.arrived_at,
                     outcomes,
                 };
-                kinds.insert(kind.clone(), shared);
+                watches.insert(kind.clone(), shared);
                 tokio::spawn(self.clone().follow(kind, position));
-                Ok(heard)
+                Ok(receiver)
             }
         }
     }
 
-    /// Watches a kind until nobody asks for it any more, or its history is over.
+    /// Watches a kind until it is idle or its history is lost.
     async fn follow(self: Arc<Self>, kind: Name, mut position: StorePosition) {
         let revision = position.revision;
         log::info!(target: "store", kind = kind.as_str(), revision; "watches for entries");
-        while let Some(terms) = self.terms(&kind) {
-            let asked_at = self.clock.now();
-            let call = self.source.watch(&kind, position.revision, terms.wait_ms);
-            let brought = match call.await {
+        while let Some(params) = self.next_call(&kind) {
+            let called_at = self.clock.now();
+            let call = self.source.watch(&kind, position.revision, params.wait_ms);
+            let update = match call.await {
                 Ok(SourceAnswer::Quiet(to)) => {
-                    let quiet_until = asked_at.plus_ms(terms.wait_ms);
-                    let known_at = quiet_until.min(self.clock.now());
+                    let latest = called_at.plus_ms(params.wait_ms);
+                    let known_at = latest.min(self.clock.now());
                     Brought { from: position, to, news: None, known_at }
                 }
                 Ok(SourceAnswer::News { position: to, changes }) => {
                     let news = Some(changes);
-                    Brought { from: position, to, news, known_at: asked_at }
+                    Brought { from: position, to, news, known_at: called_at }
                 }
                 Ok(SourceAnswer::HistoryLost) => break,
-                Err(lost) => {
-                    self.note_lost(&kind, &lost);
-                    self.tell(&kind, Outcome::Lost);
-                    sleep(PAUSE).await;
+                Err(error) => {
+                    self.log_failure(&kind, &error);
+                    self.broadcast(&kind, Outcome::Failed);
+                    sleep(RETRY_DELAY).await;
                     continue;
                 }
             };
-            if !brought.is_of_one_era() {
+            if !update.is_of_one_era() {
                 break;
             }
-            let is_news = brought.news.is_some();
-            position = if is_news { brought.to } else { position.max(brought.to) };
-            self.tell(&kind, Outcome::Brought(brought));
-            if is_news {
-                // Changes that come in a row are read together.
-                let next_at = asked_at.plus_ms(terms.spacing_ms);
+            let is_change = update.news.is_some();
+            position = if is_change { update.to } else { position.max(update.to) };
+            self.broadcast(&kind, Outcome::Update(update));
+            if is_change {
+                // Lets changes in quick succession accumulate into one answer.
+                let next_at = called_at.plus_ms(params.spacing_ms);
                 sleep(next_at.left(self.clock.now())).await;
             }
         }
-        let ended = self.kinds.lock().unwrap().remove(&kind);
+        let ended = self.watches.lock().unwrap().remove(&kind);
         if let Some(shared) = ended {
             let _ = shared.outcomes.send(Outcome::HistoryLost);
         }
@@ -252,38 +257,40 @@
         log::info!(target: "store", kind = kind.as_str(), revision; "watches for entries no more");
     }
 
-    /// Returns how to make the next call; `None` if nobody asks any more.
-    fn terms(&self, kind: &Name) -> Option<Terms> {
-        let kinds = self.kinds.lock().unwrap();
-        let shared = kinds.get(kind)?;
-        let unasked_ms = self.clock.now().ms_since(shared.asked_at);
-        if shared.outcomes.receiver_count() == 0 && unasked_ms >= IDLE_MS {
+    /// Returns the parameters of the next call; `None` if the watch is idle.
+    fn next_call(&self, kind: &Name) -> Option<CallParams> {
+        let watches = self.watches.lock().unwrap();
+        let shared = watches.get(kind)?;
+        let idle_ms = self.clock.now().ms_since(shared.requested_at);
+        if shared.outcomes.receiver_count() == 0 && idle_ms >= IDLE_TIMEOUT_MS {
             return None;
         }
-        // The first call after a failure comes back at once, as who asks is refused
-        // until it does.
-        let wait_ms = if shared.failing { 0 } else { shared.ask.wait_ms };
-        Some(Terms { wait_ms, spacing_ms: shared.ask.spacing_ms })
+        // The first call after a failure does not wait for changes, as requests are refused
+        // until it succeeds.
+        let wait_ms = if shared.failing { 0 } else { shared.request.wait_ms };
+        Some(CallParams { wait_ms, spacing_ms: shared.request.spacing_ms })
     }
 
-    /// Tells all who wait, and what who asks later has to know.
-    fn tell(&self, kind: &Name, outcome: Outcome) {
-        let mut kinds = self.kinds.lock().unwrap();
-        let Some(shared) = kinds.get_mut(kind) else { return };
-        shared.failing = matches!(outcome, Outcome::Lost);
-        if let Outcome::Brought(brought @ Brought { news: Some(_), .. }) = &outcome {
-            let quiet_from = std::mem::replace(&mut shared.quiet_from, brought.to);
-            let brought = brought.clone();
-            shared.last_news = Some(LastNews { quiet_from, brought });
+    /// Sends an outcome to all waiting clients, and records it for later requests.
+    fn broadcast(&self, kind: &Name, outcome: Outcome) {
+        let mut watches = self.watches.lock().unwrap();
+        let Some(shared) = watches.get_mut(kind) else { return };
+        shared.failing = matches!(outcome, Outcome::Failed);
+        if let Outcome::Update(update @ Brought { news: Some(_), .. }) = &outcome {
+            let unchanged_since =
+                std::mem::replace(&mut shared.unchanged_since, update.to);
+            let update = update.clone();
+            shared.last_change = Some(LastChange { unchanged_since, update });
         }
-        // Nobody may be waiting at this moment.
+        // Fails only if no client is waiting.
         let _ = shared.outcomes.send(outcome);
     }
 
-    fn note_lost(&self, kind: &Name, lost: &SourceLost) {
-        let kinds = self.kinds.lock().unwrap();
-        if kinds.get(kind).is_some_and(|shared| !shared.failing) {
-            log::warn!(target: "store", kind = kind.as_str(), reason = lost.to_string().as_str(); "lost while watching for entries");
+    /// Logs the first of consecutive failures.
+    fn log_failure(&self, kind: &Name, error: &SourceLost) {
+        let watches = self.watches.lock().unwrap();
+        if watches.get(kind).is_some_and(|shared| !shared.failing) {
+            log::warn!(target: "store", kind = kind.as_str(), reason = error.to_string().as_str(); "lost while watching for entries");
         }
     }
 }
@@ -296,12 +303,12 @@
         WatchReply::Quiet { position, known_ms } => {
             (WatchOutcome::Quiet, position, known_ms, Bytes::new())
         }
-        WatchReply::OutOfStep => return without_news(WatchOutcome::OutOfStep),
+        WatchReply::OutOfStep => return answer_without_changes(WatchOutcome::OutOfStep),
     };
     let StorePosition { era, revision } = position;
     WatchAnswer { outcome: outcome.into(), revision, known_ms, news, era }
 }
 
-fn without_news(outcome: WatchOutcome) -> WatchAnswer {
+fn answer_without_changes(outcome: WatchOutcome) -> WatchAnswer {
     WatchAnswer { outcome: outcome.into(), ..WatchAnswer::default() }
 }
