--- a/crates/bilberry-steward/tests/incarnations.rs
+++ b/crates/bilberry-steward/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! An engine that starts again under its identity, as its sidecar follows it.
+//! How a sidecar follows an engine that restarts under the same identity.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -30,12 +30,12 @@
 
 const MODEL: &str = "model-a";
 
-/// How long a test waits for what must come.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// The timeout of waits in tests.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An engine whose answers a test chooses.
+/// An engine that gives the answers of a test and records its orders.
 #[derive(Debug, Clone)]
-struct ChosenEngine {
+struct ScriptedEngine {
     answers: watch::Sender<Answers>,
     orders: Arc<Mutex<Vec<LoadOrder>>>,
 }
@@ -43,14 +43,14 @@
 #[derive(Debug, Clone, Default)]
 struct Answers {
     report: EngineReport,
-    /// What the engine reports once it has accepted an order.
+    /// The report after the engine has accepted an order.
     after_order: Option<EngineReport>,
     listing: CacheListing,
-    /// The answer to the question for events, which waits while there is none.
+    /// The answer to a request for events, which waits until there is one.
     events: Option<CacheEvents>,
 }
 
-impl ChosenEngine {
+impl ScriptedEngine {
     fn new(answers: Answers) -> Self {
         Self { answers: watch::Sender::new(answers), orders: Arc::default() }
     }
@@ -60,7 +60,7 @@
     }
 }
 
-impl Engine for ChosenEngine {
+impl Engine for ScriptedEngine {
     async fn report(&self) -> Result<EngineReport, EngineSilent> {
         Ok(self.answers.borrow().report.clone())
     }
@@ -79,7 +79,7 @@
         answered.map_err(|error| EngineSilent(error.to_string()))?;
         let mut taken = None;
         self.change(|answers| taken = answers.events.take());
-        taken.ok_or_else(|| EngineSilent("taken by another question".to_string()))
+        taken.ok_or_else(|| EngineSilent("taken by another request".to_string()))
     }
 
     async fn cache_listing(&self) -> Result<CacheListing, EngineSilent> {
@@ -87,7 +87,7 @@
     }
 }
 
-fn start(born_ms: u64) -> Incarnation {
+fn incarnation(born_ms: u64) -> Incarnation {
     Incarnation { born_at: UnixMs(born_ms) }
 }
 
@@ -95,7 +95,7 @@
     EngineReport {
         models: vec![ModelVersion { model: MODEL.to_string(), version }],
         orders,
-        incarnation: Some(start(born_ms)),
+        incarnation: Some(incarnation(born_ms)),
         ..EngineReport::default()
     }
 }
@@ -109,15 +109,15 @@
         epoch,
         next: 0,
         parts: parts.iter().copied().map(part).collect(),
-        incarnation: born_ms.map(start),
+        incarnation: born_ms.map(incarnation),
     }
 }
 
-/// Starts a sidecar's part that follows the engine.
-fn follow(
-    engine: &ChosenEngine,
+/// Starts a steward for an engine.
+fn start_steward(
+    engine: &ScriptedEngine,
     newest: Newest,
-) -> Arc<Steward<ChosenEngine, BootClock>> {
+) -> Arc<Steward<ScriptedEngine, BootClock>> {
     let cache = Arc::new(CacheView::new());
     let holder = "sidecar-0".to_string();
     let clock = BootClock::new();
@@ -128,68 +128,72 @@
     steward
 }
 
-async fn state_where(
+async fn wait_for_state(
     states: &mut watch::Receiver<EngineState>,
-    suits: impl FnMut(&EngineState) -> bool,
+    condition: impl FnMut(&EngineState) -> bool,
 ) -> EngineState {
-    let found = timeout(PATIENCE, states.wait_for(suits)).await;
-    found.expect("it comes").expect("the sidecar runs").clone()
+    let found = timeout(WAIT_TIMEOUT, states.wait_for(condition)).await;
+    found.expect("timed out").expect("the steward was dropped").clone()
 }
 
 #[tokio::test]
-async fn a_late_report_of_an_earlier_start_tells_nothing_of_the_present_one() {
-    // Entries go on with the weights of the present start. What answers the sidecar
-    // is the earlier one, on a connection from before; the present one has then not
-    // answered, and counts as down if that lasts.
+async fn a_late_report_of_an_earlier_incarnation_is_ignored() {
+    // The earlier incarnation responds over a connection that predates the restart. Entries
+    // must keep the weights of the current one, which has not responded and counts as down
+    // if that persists.
     let engine =
-        ChosenEngine::new(Answers { report: report(2, 1, 0), ..Answers::default() });
-    let steward = follow(&engine, Newest::default());
+        ScriptedEngine::new(Answers { report: report(2, 1, 0), ..Answers::default() });
+    let steward = start_steward(&engine, Newest::default());
     let mut states = steward.state();
-    state_where(&mut states, |state| state.upstream.born_ms == Some(2)).await;
+    wait_for_state(&mut states, |state| state.upstream.born_ms == Some(2)).await;
     engine.change(|answers| answers.report = report(1, 7, 3));
-    let state = state_where(&mut states, |state| !state.upstream.up).await;
+    let state = wait_for_state(&mut states, |state| !state.upstream.up).await;
     assert_eq!(state.upstream.born_ms, Some(2));
     assert_eq!(state.upstream.models[0].version, 1);
     engine.change(|answers| answers.report = report(2, 1, 0));
-    state_where(&mut states, |state| state.upstream.up).await;
+    wait_for_state(&mut states, |state| state.upstream.up).await;
 }
 
 #[tokio::test]
-async fn an_order_that_ended_with_its_start_is_no_load_and_the_next_names_its_count() {
-    // The engine gets the weights by a second order. It restarts after it took the
-    // first one, with other weights and no order counted. What it has then was not
-    // loaded, so that how long loads take is not learnt from it.
+async fn an_order_lost_in_a_restart_is_not_measured_and_is_sent_again() {
+    // The engine restarts after it accepted an order, with the newest weights and a count
+    // of zero. These weights were not loaded by the order, so they must not count as a
+    // measured load. After another restart with old weights, a second order must carry the
+    // new incarnation and its order count.
     let newest = Newest::default();
     newest.hear(MODEL, 3, BootClock::new().now());
-    let engine = ChosenEngine::new(Answers {
+    let engine = ScriptedEngine::new(Answers {
         report: report(1, 2, 5),
         after_order: Some(report(2, 3, 0)),
         ..Answers::default()
     });
-    let steward = follow(&engine, newest);
+    let steward = start_steward(&engine, newest);
     let mut states = steward.state();
-    let again = |state: &EngineState| state.upstream.born_ms == Some(2);
-    state_where(&mut states, again).await;
-    let loads = steward.metrics.render();
-    assert!(loads.contains("load_seconds_count 0"), "{loads}");
+    let restarted = |state: &EngineState| state.upstream.born_ms == Some(2);
+    wait_for_state(&mut states, restarted).await;
+    let metrics = steward.metrics.render();
+    assert!(metrics.contains("load_seconds_count 0"), "{metrics}");
     engine.change(|answers| answers.report = report(3, 2, 0));
-    let again = |state: &EngineState| state.upstream.born_ms == Some(3);
-    state_where(&mut states, again).await;
+    let restarted = |state: &EngineState| state.upstream.born_ms == Some(3);
+    wait_for_state(&mut states, restarted).await;
     let mut answers = engine.answers.subscribe();
     let ordered = |_: &Answers| engine.orders.lock().unwrap().len() == 2;
-    let ordered = timeout(PATIENCE, answers.wait_for(ordered)).await;
-    ordered.expect("it comes").expect("the engine is there");
+    let ordered = timeout(WAIT_TIMEOUT, answers.wait_for(ordered)).await;
+    ordered.expect("timed out").expect("the engine was dropped");
     let orders = engine.orders.lock().unwrap().clone();
-    let named = orders.iter().map(|order| (order.expected_orders, order.incarnation));
-    assert_eq!(named.collect::<Vec<_>>(), [(5, Some(start(1))), (0, Some(start(3)))]);
+    let sent = orders.iter().map(|order| (order.expected_orders, order.incarnation));
+    assert_eq!(
+        sent.collect::<Vec<_>>(),
+        [(5, Some(incarnation(1))), (0, Some(incarnation(3)))]
+    );
 }
 
 async fn next(changes: &mut Receiver<CacheChange>) -> CacheChange {
-    let change = timeout(PATIENCE, changes.recv()).await;
-    change.expect("it comes").expect("the view lives")
+    let change = timeout(WAIT_TIMEOUT, changes.recv()).await;
+    change.expect("timed out").expect("the view was dropped")
 }
 
-fn all(born_ms: u64, parts: &[u64]) -> CacheChange {
+fn snapshot(born_ms: u64, parts: &[u64]) -> CacheChange {
     CacheChange {
         reset: true,
         added: parts.iter().map(|&part| part_key("", part)).collect(),
@@ -200,83 +204,84 @@
 }
 
 #[tokio::test]
-async fn events_of_an_earlier_start_bring_nothing_into_the_cache_of_the_next() {
-    // Entries hear of an empty cache as soon as the restart is known, and then of
-    // what the next start holds. A question for events waits from before; its answer
-    // comes late and tells of the earlier start, by name or not.
-    for tells_born in [true, false] {
-        let told = |born_ms: u64| tells_born.then_some(born_ms);
-        let engine = ChosenEngine::new(Answers {
-            listing: listing(told(1), 7, &[1]),
+async fn late_cache_events_of_an_earlier_incarnation_are_ignored() {
+    // A request for events is pending during a restart, and its late answer describes the
+    // earlier incarnation, whether or not it says so. Entries must receive an empty cache
+    // once the restart is known, and then only the contents of the new incarnation.
+    for reports_incarnation in [true, false] {
+        let born = |born_ms: u64| reports_incarnation.then_some(born_ms);
+        let engine = ScriptedEngine::new(Answers {
+            listing: listing(born(1), 7, &[1]),
             ..Answers::default()
         });
         let view = Arc::new(CacheView::new());
-        view.enter(start(1));
+        view.enter(incarnation(1));
         let (_, mut changes) = view.subscribe();
         tokio::spawn(view.clone().follow(engine.clone()));
-        assert_eq!(next(&mut changes).await, all(1, &[1]));
-        // A change that is taken in shows that the next question has been asked.
+        assert_eq!(next(&mut changes).await, snapshot(1, &[1]));
+        // Once a change is applied, the next request follows.
         let known = CacheEvents {
             epoch: 7,
             changes: vec![part(2)],
-            incarnation: told(1).map(start),
+            incarnation: born(1).map(incarnation),
             ..CacheEvents::default()
         };
         engine.change(|answers| answers.events = Some(known.clone()));
         assert_eq!(next(&mut changes).await.added, [part_key("", 2)]);
-        let asked = || engine.answers.receiver_count() > 0;
-        while !asked() {
+        let is_requested = || engine.answers.receiver_count() > 0;
+        while !is_requested() {
             tokio::task::yield_now().await;
         }
-        view.enter(start(2));
-        assert_eq!(next(&mut changes).await, all(2, &[]));
+        view.enter(incarnation(2));
+        assert_eq!(next(&mut changes).await, snapshot(2, &[]));
         assert_eq!(view.epoch(), 0);
         engine.change(|answers| {
-            answers.listing = listing(told(2), 9, &[3]);
+            answers.listing = listing(born(2), 9, &[3]);
             answers.events = Some(CacheEvents { changes: vec![part(5)], ..known });
         });
-        assert_eq!(next(&mut changes).await, all(2, &[3]));
+        assert_eq!(next(&mut changes).await, snapshot(2, &[3]));
     }
 }
 
 #[tokio::test]
-async fn a_cache_that_tells_of_a_later_start_first_is_followed_at_once() {
-    // Entries hear what the next start holds. A store of kept prompts restarts, of
-    // which no report tells; its own listing is the first word.
-    let engine = ChosenEngine::new(Answers {
+async fn a_listing_can_be_the_first_report_of_a_new_incarnation() {
+    // Prompt stores have no status reports, so the listing is the first sign of a restart.
+    // Entries must receive the contents of the new incarnation.
+    let engine = ScriptedEngine::new(Answers {
         listing: listing(Some(1), 7, &[1]),
         ..Answers::default()
     });
     let view = Arc::new(CacheView::new());
     let (_, mut changes) = view.subscribe();
     tokio::spawn(view.clone().follow(engine.clone()));
-    assert_eq!(next(&mut changes).await, all(1, &[1]));
+    assert_eq!(next(&mut changes).await, snapshot(1, &[1]));
     engine.change(|answers| {
         answers.listing = listing(Some(2), 9, &[3]);
         answers.events =
             Some(CacheEvents { epoch: 9, gap: true, ..CacheEvents::default() });
     });
-    assert_eq!(next(&mut changes).await, all(2, &[]));
-    assert_eq!(next(&mut changes).await, all(2, &[3]));
+    assert_eq!(next(&mut changes).await, snapshot(2, &[]));
+    assert_eq!(next(&mut changes).await, snapshot(2, &[3]));
 }
 
 #[tokio::test]
-async fn what_an_entry_says_is_read_is_passed_on_for_the_same_start_alone() {
-    // An entry has a part read and says so; its engine restarts before the word is here.
-    // Passed on for the new start, it would have other entries fetch from an engine that
-    // is empty. It is also not held: only the engine's own events say when a part ends.
+async fn reading_notices_are_forwarded_only_for_the_current_incarnation() {
+    // An engine restarts before an entry's notice of a part that it read arrives. Forwarded
+    // for the new incarnation, the notice would make other entries fetch from an engine
+    // whose cache is empty. Notices must not change the cache contents either, as only the
+    // engine's own events report removals.
     let view = CacheView::new();
     view.enter(Incarnation { born_at: UnixMs(2) });
     let (_, mut changes) = view.subscribe();
-    let read = |born_ms| ReadingNotice {
+    let notice = |born_ms| ReadingNotice {
         read: vec![7],
         born_ms: Some(born_ms),
         ..ReadingNotice::default()
     };
-    view.pass_on(read(1));
-    view.pass_on(read(2));
-    let passed_on = next(&mut changes).await;
-    assert_eq!((passed_on.added, passed_on.born_ms), (vec![7], Some(2)));
+    view.pass_on(notice(1));
+    view.pass_on(notice(2));
+    let forwarded = next(&mut changes).await;
+    assert_eq!((forwarded.added, forwarded.born_ms), (vec![7], Some(2)));
     assert!(changes.is_empty());
     assert_eq!(view.subscribe().0.added, Vec::<u64>::new());
 }
--- a/crates/bilberry-steward/tests/loads.rs
+++ b/crates/bilberry-steward/tests/loads.rs
@@ -1,4 +1,4 @@
-//! When an engine is ordered to load new weights.
+//! When a steward orders its engine to load new weights.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -24,27 +24,27 @@
 
 const MODEL: &str = "model-a";
 
-/// How long a test waits for what must come.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// The timeout of waits in tests.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A clock that a test moves.
+/// A clock that tests advance.
 #[derive(Debug, Clone, Default)]
-struct MovedClock(Arc<AtomicU64>);
+struct ManualClock(Arc<AtomicU64>);
 
-impl Clock for MovedClock {
+impl Clock for ManualClock {
     fn now(&self) -> UnixMs {
         UnixMs(self.0.load(Ordering::Relaxed))
     }
 }
 
-/// An engine whose report a test chooses.
+/// An engine with a settable report that counts its orders.
 #[derive(Debug, Clone)]
-struct BusyEngine {
+struct StubEngine {
     report: watch::Sender<EngineReport>,
     orders: watch::Sender<usize>,
 }
 
-impl Engine for BusyEngine {
+impl Engine for StubEngine {
     async fn report(&self) -> Result<EngineReport, EngineSilent> {
         Ok(self.report.borrow().clone())
     }
@@ -72,8 +72,11 @@
     }
 }
 
-/// Follows an engine that lacks weights named at the clock's time.
-fn follow(engine: &BusyEngine, clock: &MovedClock) -> watch::Receiver<EngineState> {
+/// Starts a steward for an engine that lacks weights announced at the clock's time.
+fn start_steward(
+    engine: &StubEngine,
+    clock: &ManualClock,
+) -> watch::Receiver<EngineState> {
     let newest = Newest::default();
     newest.hear(MODEL, 3, clock.now());
     let steward = Arc::new(Steward::new(
@@ -88,28 +91,28 @@
     steward.state()
 }
 
-fn engine(queued: u64) -> BusyEngine {
-    BusyEngine {
+fn engine(queued: u64) -> StubEngine {
+    StubEngine {
         report: watch::Sender::new(report(queued, 0)),
         orders: watch::Sender::new(0),
     }
 }
 
-async fn wait_for<T>(values: &mut watch::Receiver<T>, suits: impl FnMut(&T) -> bool) {
-    let found = timeout(PATIENCE, values.wait_for(suits)).await;
-    found.expect("it comes").expect("its sender lives");
+async fn wait_for<T>(values: &mut watch::Receiver<T>, condition: impl FnMut(&T) -> bool) {
+    let found = timeout(WAIT_TIMEOUT, values.wait_for(condition)).await;
+    found.expect("timed out").expect("the sender was dropped");
 }
 
 #[tokio::test]
-async fn what_waits_at_an_engine_is_worked_off_before_it_loads() {
-    // New weights are named under full load. The engine's turn comes while requests wait
-    // there to be read; the load would throw them back. Entries hear that it takes
-    // nothing new, and the order follows when the last of them has begun.
-    let clock = MovedClock::default();
+async fn a_load_waits_until_the_engine_queue_is_empty() {
+    // New weights are announced under full load, and the load becomes due while requests
+    // are queued for prefill. Loading then would reject them. Entries see the engine as
+    // loading, and the order is sent once the last queued request has started.
+    let clock = ManualClock::default();
     let engine = engine(3);
-    let mut states = follow(&engine, &clock);
+    let mut states = start_steward(&engine, &clock);
     wait_for(&mut states, |state| state.upstream.loading).await;
-    // A later report shows that the first one led to no order.
+    // When a later report is visible, the first one has been processed without an order.
     engine.report.send_replace(report(3, 7));
     wait_for(&mut states, |state| state.upstream.running == 7).await;
     assert_eq!(*engine.orders.borrow(), 0);
@@ -118,12 +121,12 @@
 }
 
 #[tokio::test]
-async fn an_engine_that_never_gets_done_loads_all_the_same() {
-    // The engine's queue never empties. Its weights would be barred in the end, and it
-    // would serve nobody.
-    let clock = MovedClock::default();
+async fn a_load_starts_eventually_if_the_engine_queue_never_empties() {
+    // Without a limit on the wait, the engine's weights would become too old to serve, and
+    // it would receive no requests at all.
+    let clock = ManualClock::default();
     let engine = engine(3);
-    let mut states = follow(&engine, &clock);
+    let mut states = start_steward(&engine, &clock);
     wait_for(&mut states, |state| state.upstream.loading).await;
     assert_eq!(*engine.orders.borrow(), 0);
     clock.0.fetch_add(2_000, Ordering::Relaxed);
--- a/crates/bilberry-steward/tests/watch_hub.rs
+++ b/crates/bilberry-steward/tests/watch_hub.rs
@@ -1,4 +1,4 @@
-//! One watch of the store that many entries share.
+//! Sharing one watch of the store between entries.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -20,14 +20,14 @@
 
 type Answer = Result<SourceAnswer, SourceLost>;
 
-/// A store that answers when and what a test says.
+/// A store that gives the answers of a test and records its calls.
 #[derive(Clone)]
-struct Source {
+struct ScriptedSource {
     calls: Arc<Mutex<Vec<(String, u64, u64)>>>,
     answers: Arc<AsyncMutex<mpsc::UnboundedReceiver<Answer>>>,
 }
 
-impl WatchSource for Source {
+impl WatchSource for ScriptedSource {
     async fn watch(&self, kind: &str, revision: u64, wait_ms: u64) -> Answer {
         self.calls.lock().unwrap().push((kind.to_string(), revision, wait_ms));
         match self.answers.lock().await.recv().await {
@@ -37,11 +37,11 @@
     }
 }
 
-/// A clock that stands still, so that what an answer proves is known to the millisecond.
+/// A clock that stands still, so that `known_ms` is deterministic.
 #[derive(Debug, Copy, Clone)]
-struct StillClock;
+struct FixedClock;
 
-impl Clock for StillClock {
+impl Clock for FixedClock {
     fn now(&self) -> UnixMs {
         UnixMs(1_000_000)
     }
@@ -49,42 +49,44 @@
 
 /// A hub and the store behind it.
 struct Fixture {
-    source: Source,
+    source: ScriptedSource,
     store: mpsc::UnboundedSender<Answer>,
-    hub: Arc<WatchHub<Source, StillClock>>,
+    hub: Arc<WatchHub<ScriptedSource, FixedClock>>,
 }
 
 impl Fixture {
     fn new() -> Self {
         let (store, answers) = mpsc::unbounded_channel();
-        let source =
-            Source { calls: Arc::default(), answers: Arc::new(AsyncMutex::new(answers)) };
-        let hub = Arc::new(WatchHub::new(source.clone(), StillClock));
+        let source = ScriptedSource {
+            calls: Arc::default(),
+            answers: Arc::new(AsyncMutex::new(answers)),
+        };
+        let hub = Arc::new(WatchHub::new(source.clone(), FixedClock));
         Self { source, store, hub }
     }
 
-    /// Asks, and waits until the hub has the question.
-    async fn ask(&self, revision: u64) -> JoinHandle<WatchAnswer> {
-        self.ask_from(at(None, revision)).await
+    /// Sends a request and waits until the hub has received it.
+    async fn request(&self, revision: u64) -> JoinHandle<WatchAnswer> {
+        self.request_from(at(None, revision)).await
     }
 
-    /// Asks from a position, and waits until the hub has the question.
-    async fn ask_from(&self, position: StorePosition) -> JoinHandle<WatchAnswer> {
+    /// Sends a request from a position and waits until the hub has received it.
+    async fn request_from(&self, position: StorePosition) -> JoinHandle<WatchAnswer> {
         let StorePosition { era, revision } = position;
-        let ask = WatchAsk {
+        let request = WatchAsk {
             kind: "config".to_string(),
             revision,
             wait_ms: 1_000,
             spacing_ms: 0,
             era,
         };
-        let asking = tokio::spawn(self.hub.clone().answer(ask));
+        let pending = tokio::spawn(self.hub.clone().answer(request));
         tokio::task::yield_now().await;
-        asking
+        pending
     }
 
-    fn says(&self, answer: Answer) {
-        self.store.send(answer).expect("the hub lives");
+    fn respond(&self, answer: Answer) {
+        self.store.send(answer).expect("the hub was dropped");
     }
 
     fn calls(&self) -> Vec<(String, u64, u64)> {
@@ -96,171 +98,174 @@
     StorePosition { era, revision }
 }
 
-fn news(revision: u64, changes: &'static str) -> Answer {
-    news_to(at(None, revision), changes)
+fn changed(revision: u64, changes: &'static str) -> Answer {
+    changed_to(at(None, revision), changes)
 }
 
-fn news_to(position: StorePosition, changes: &'static str) -> Answer {
+fn changed_to(position: StorePosition, changes: &'static str) -> Answer {
     Ok(SourceAnswer::News { position, changes: Bytes::from_static(changes.as_bytes()) })
 }
 
-fn quiet(revision: u64) -> Answer {
+fn unchanged(revision: u64) -> Answer {
     Ok(SourceAnswer::Quiet(at(None, revision)))
 }
 
-async fn answered(asking: JoinHandle<WatchAnswer>) -> WatchAnswer {
-    asking.await.expect("the hub answers")
+async fn response(pending: JoinHandle<WatchAnswer>) -> WatchAnswer {
+    pending.await.expect("the hub panicked")
 }
 
 #[tokio::test]
-async fn many_who_ask_cost_one_call() {
-    // Each caller's entry hears of the change. Twenty entries ask one hub; the store,
-    // which others use too, is asked once for all of them.
+async fn requests_for_one_kind_share_a_call() {
+    // Twenty entries request changes from one hub. The store, which other systems use too,
+    // gets a single call, and all entries receive the change.
     let fixture = Fixture::new();
-    let mut asking = Vec::new();
+    let mut pending = Vec::new();
     for _ in 0..20 {
-        asking.push(fixture.ask(7).await);
+        pending.push(fixture.request(7).await);
     }
     assert_eq!(fixture.calls(), [("config".to_string(), 7, 1_000)]);
-    fixture.says(news(9, "changes"));
-    for asking in asking {
-        let answer = answered(asking).await;
+    fixture.respond(changed(9, "changes"));
+    for request in pending {
+        let answer = response(request).await;
         assert_eq!(answer.outcome(), WatchOutcome::News);
         assert_eq!((answer.revision, answer.news.as_ref()), (9, &b"changes"[..]));
-        // The call was made just as the question came, so the news proves nothing about
-        // any later moment.
+        // The call was made when the request arrived, so the answer says nothing about any
+        // later time.
         assert_eq!(answer.known_ms, 0);
     }
 }
 
 #[tokio::test]
-async fn an_entry_that_lags_is_sent_to_the_store() {
-    // Its callers would else miss a change for good: it was told to others before.
+async fn an_entry_behind_the_last_change_must_query_the_store() {
+    // The change was sent to other entries before, so this one would never receive it.
     let fixture = Fixture::new();
-    let first = fixture.ask(7).await;
-    fixture.says(news(9, "changes"));
-    answered(first).await;
-    let behind = answered(fixture.ask(8).await).await;
+    let first = fixture.request(7).await;
+    fixture.respond(changed(9, "changes"));
+    response(first).await;
+    let behind = response(fixture.request(8).await).await;
     assert_eq!(behind.outcome(), WatchOutcome::OutOfStep);
-    let in_step = fixture.ask(9).await;
-    fixture.says(quiet(12));
-    let answer = answered(in_step).await;
+    let up_to_date = fixture.request(9).await;
+    fixture.respond(unchanged(12));
+    let answer = response(up_to_date).await;
     assert_eq!((answer.outcome(), answer.revision), (WatchOutcome::Quiet, 12));
 }
 
 #[tokio::test]
-async fn a_hub_without_the_store_says_so_at_once() {
-    // An entry that is not cut off itself asks the store then, and serves its callers
-    // on. The hub's first call fails; who asks after that is not kept waiting.
+async fn requests_fail_immediately_while_the_store_is_unreachable() {
+    // Entries that can reach the store query it directly and continue to serve callers. For
+    // this, the hub must not delay requests after its first call has failed.
     let fixture = Fixture::new();
-    let waiting = fixture.ask(7).await;
-    fixture.says(Err(SourceLost("cut off".to_string())));
-    assert_eq!(answered(waiting).await.outcome(), WatchOutcome::Lost);
-    assert_eq!(answered(fixture.ask(7).await).await.outcome(), WatchOutcome::Lost);
-    // Its next call comes back at once, and once that was answered it tells again.
-    fixture.says(quiet(8));
-    let asked_again = async {
+    let waiting = fixture.request(7).await;
+    fixture.respond(Err(SourceLost("cut off".to_string())));
+    assert_eq!(response(waiting).await.outcome(), WatchOutcome::Lost);
+    assert_eq!(response(fixture.request(7).await).await.outcome(), WatchOutcome::Lost);
+    // The hub's next call does not wait for changes. Once it succeeds, the hub answers
+    // requests again.
+    fixture.respond(unchanged(8));
+    let retried = async {
         while fixture.calls().len() < 3 {
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
         }
     };
-    asked_again.await;
+    retried.await;
     assert_eq!(
         fixture.calls()[1..],
         [("config".to_string(), 7, 0), ("config".to_string(), 8, 1_000)]
     );
-    let again = fixture.ask(8).await;
-    fixture.says(news(11, "later"));
-    assert_eq!(answered(again).await.outcome(), WatchOutcome::News);
+    let again = fixture.request(8).await;
+    fixture.respond(changed(11, "later"));
+    assert_eq!(response(again).await.outcome(), WatchOutcome::News);
 }
 
 #[tokio::test]
-async fn an_entry_between_two_questions_hears_the_last_change() {
-    // A key was taken away, and one entry went on to serve it for as long as keys count.
-    // It had just been answered when the change came, so the others were told and it was
-    // sent to the store, which it could not reach; asked anew, the hub sent it there again.
+async fn an_entry_between_two_requests_receives_the_last_change() {
+    // An entry continued to serve a revoked key until its cached copy of the key expired. The change arrived
+    // between two requests of the entry, so the hub told it to query the store, which the
+    // entry could not reach, and repeated that on each further request.
     let fixture = Fixture::new();
-    let other = fixture.ask(7).await;
-    fixture.says(news(9, "changes"));
-    answered(other).await;
-    let late = answered(fixture.ask(7).await).await;
+    let other = fixture.request(7).await;
+    fixture.respond(changed(9, "changes"));
+    response(other).await;
+    let late = response(fixture.request(7).await).await;
     assert_eq!(late.outcome(), WatchOutcome::News);
     assert_eq!((late.revision, late.news), (9, "changes".into()));
-    // It proves no more than the call that brought it.
+    // The answer is as old as the call that returned the change.
     assert_eq!(late.known_ms, 0);
-    // Two changes behind, it lacks one that is not kept.
-    let next = fixture.ask(9).await;
-    fixture.says(news(11, "more"));
-    answered(next).await;
-    let behind = answered(fixture.ask(7).await).await;
+    // An entry that is two changes behind has missed one that the hub no longer keeps.
+    let next = fixture.request(9).await;
+    fixture.respond(changed(11, "more"));
+    response(next).await;
+    let behind = response(fixture.request(7).await).await;
     assert_eq!(behind.outcome(), WatchOutcome::OutOfStep);
 }
 
 #[tokio::test]
-async fn a_forgotten_history_sends_all_to_the_store() {
+async fn all_entries_must_query_the_store_after_it_loses_history() {
     let fixture = Fixture::new();
-    let waiting = fixture.ask(7).await;
-    fixture.says(Ok(SourceAnswer::HistoryLost));
-    assert_eq!(answered(waiting).await.outcome(), WatchOutcome::OutOfStep);
-    // Whoever asks first after that has it watched anew.
-    let again = fixture.ask(20).await;
-    fixture.says(news(21, "later"));
-    assert_eq!(answered(again).await.revision, 21);
+    let waiting = fixture.request(7).await;
+    fixture.respond(Ok(SourceAnswer::HistoryLost));
+    assert_eq!(response(waiting).await.outcome(), WatchOutcome::OutOfStep);
+    // The next request starts a new watch.
+    let again = fixture.request(20).await;
+    fixture.respond(changed(21, "later"));
+    assert_eq!(response(again).await.revision, 21);
 }
 
 #[tokio::test]
-async fn a_hub_bounds_what_it_watches() {
-    // A confused peer that asks for ever new kinds costs the store no calls for each.
+async fn a_hub_limits_the_number_of_watched_kinds() {
+    // A faulty peer that requests more and more kinds must not cause a call for each.
     let fixture = Fixture::new();
     for number in 0..20 {
-        let ask = WatchAsk { kind: format!("kind-{number}"), ..WatchAsk::default() };
-        tokio::spawn(fixture.hub.clone().answer(ask));
+        let request = WatchAsk { kind: format!("kind-{number}"), ..WatchAsk::default() };
+        tokio::spawn(fixture.hub.clone().answer(request));
     }
     tokio::task::yield_now().await;
-    let ask = WatchAsk { kind: "config".to_string(), ..WatchAsk::default() };
-    let refused = fixture.hub.clone().answer(ask).await;
+    let request = WatchAsk { kind: "config".to_string(), ..WatchAsk::default() };
+    let refused = fixture.hub.clone().answer(request).await;
     assert_eq!(refused.outcome(), WatchOutcome::Lost);
     assert!(fixture.calls().len() <= 8);
 }
 
 #[tokio::test]
-async fn a_store_from_an_older_copy_sends_all_to_the_store() {
-    // Callers' entries would take what followed revision 12 of one history for what
-    // followed it in the other. Nothing of the call that saw the change is told.
+async fn all_entries_must_query_the_store_after_an_era_change() {
+    // After the store is restored from an older copy, the changes after revision 12 belong
+    // to a different history. Entries must not receive any result of the call that crossed
+    // the eras.
     let fixture = Fixture::new();
-    let waiting = fixture.ask_from(at(Some(1), 12)).await;
-    fixture.says(news_to(at(Some(2), 14), "changes"));
-    assert_eq!(answered(waiting).await.outcome(), WatchOutcome::OutOfStep);
-    // The entry lists, and asks from the era that it has read.
-    let again = fixture.ask_from(at(Some(2), 11)).await;
-    fixture.says(news_to(at(Some(2), 14), "later"));
-    let answer = answered(again).await;
+    let waiting = fixture.request_from(at(Some(1), 12)).await;
+    fixture.respond(changed_to(at(Some(2), 14), "changes"));
+    assert_eq!(response(waiting).await.outcome(), WatchOutcome::OutOfStep);
+    // The entry lists the objects and continues from the era of the listing.
+    let again = fixture.request_from(at(Some(2), 11)).await;
+    fixture.respond(changed_to(at(Some(2), 14), "later"));
+    let answer = response(again).await;
     assert_eq!((answer.outcome(), answer.era), (WatchOutcome::News, Some(2)));
-    // One that is late by an era is sent there too, whatever its revision.
-    let late = answered(fixture.ask_from(at(Some(1), 900)).await).await;
+    // An entry in an earlier era must query the store too, whatever its revision.
+    let late = response(fixture.request_from(at(Some(1), 900)).await).await;
     assert_eq!(late.outcome(), WatchOutcome::OutOfStep);
 }
 
 #[tokio::test]
-async fn a_hub_of_an_earlier_era_keeps_an_entry_of_a_later_one_waiting() {
-    // Told "quiet", the entry would count keys as confirmed by a history that is over.
-    // Sent to the store, it would ask in turn there and here until the hub's call ends.
+async fn an_entry_ahead_of_the_hub_by_an_era_waits() {
+    // If the hub answered `Quiet`, the entry would accept keys as confirmed by an obsolete
+    // history. If it referred the entry to the store, the entry would alternate between
+    // store and hub without a delay until the hub's call ends.
     let fixture = Fixture::new();
-    let first = fixture.ask_from(at(Some(1), 12)).await;
-    let ahead = fixture.ask_from(at(Some(2), 5)).await;
-    fixture.says(Ok(SourceAnswer::Quiet(at(Some(1), 12))));
-    assert_eq!(answered(first).await.outcome(), WatchOutcome::Quiet);
+    let first = fixture.request_from(at(Some(1), 12)).await;
+    let ahead = fixture.request_from(at(Some(2), 5)).await;
+    fixture.respond(Ok(SourceAnswer::Quiet(at(Some(1), 12))));
+    assert_eq!(response(first).await.outcome(), WatchOutcome::Quiet);
     assert!(!ahead.is_finished());
-    fixture.says(Ok(SourceAnswer::Quiet(at(Some(2), 6))));
-    assert_eq!(answered(ahead).await.outcome(), WatchOutcome::OutOfStep);
+    fixture.respond(Ok(SourceAnswer::Quiet(at(Some(2), 6))));
+    assert_eq!(response(ahead).await.outcome(), WatchOutcome::OutOfStep);
 }
 
 #[tokio::test]
-async fn an_entry_that_knows_no_eras_watches_by_itself() {
-    // An older process can't be told in which era it is. Sent to the store, it would ask
-    // in turn there and here without a pause.
+async fn an_entry_without_era_support_is_refused() {
+    // An older release cannot learn the store's era. If it were told to query the store
+    // once, it would alternate between store and hub without a delay.
     let fixture = Fixture::new();
-    let _first = fixture.ask_from(at(Some(1), 12)).await;
-    let older = answered(fixture.ask(12).await).await;
-    assert_eq!(older.outcome(), WatchOutcome::Lost);
+    let _first = fixture.request_from(at(Some(1), 12)).await;
+    let refused = response(fixture.request(12).await).await;
+    assert_eq!(refused.outcome(), WatchOutcome::Lost);
 }
