--- a/crates/bilberry-steward/src/cache.rs
+++ b/crates/bilberry-steward/src/cache.rs
@@ -121,7 +121,7 @@
     /// Records the engine's incarnation.
     ///
     /// A later one than before starts with an empty cache; an earlier one is ignored.
-    pub fn enter(&self, incarnation: Incarnation) {
+    pub fn observe_incarnation(&self, incarnation: Incarnation) {
         let mut contents = self.contents.lock().unwrap();
         match Incarnation::compare(contents.incarnation, Some(incarnation)) {
             Told::Older => {}
@@ -140,7 +140,7 @@
     ///
     /// The parts are not added to the contents: the engine's own events report when they
     /// are added and removed.
-    pub fn pass_on(&self, notice: ReadingNotice) {
+    pub fn forward_reading(&self, notice: ReadingNotice) {
         let contents = self.contents.lock().unwrap();
         let read_by = notice.born_ms.map(|ms| Incarnation { born_at: UnixMs(ms) });
         if Incarnation::compare(contents.incarnation, read_by) != Told::Same {
@@ -218,7 +218,7 @@
         reported: Option<Incarnation>,
     ) -> Option<MutexGuard<'_, Contents>> {
         if let Some(reported) = reported {
-            self.enter(reported);
+            self.observe_incarnation(reported);
         }
         let contents = self.contents.lock().unwrap();
         let is_same = match reported {
--- a/crates/bilberry-steward/src/feed.rs
+++ b/crates/bilberry-steward/src/feed.rs
@@ -198,7 +198,7 @@
                     let notice = match body {
                         Some(Body::EntryNotice(notice)) => notice,
                         Some(Body::ReadingNotice(notice)) => {
-                            feed.cache.pass_on(notice);
+                            feed.cache.forward_reading(notice);
                             continue;
                         }
                         Some(Body::CrashNotice(notice)) => {
--- a/crates/bilberry-steward/src/newest.rs
+++ b/crates/bilberry-steward/src/newest.rs
@@ -44,7 +44,7 @@
 
     /// Returns the version that an engine with these weights should load, and the time
     /// since which its weights have been outdated.
-    pub fn lacking(&self, model: &str, version: u64) -> Option<(u64, UnixMs)> {
+    pub fn missing_version(&self, model: &str, version: u64) -> Option<(u64, UnixMs)> {
         let known = self.known.lock().unwrap();
         let weights = known.weights.get(model)?;
         let since = weights.lacking_since(version)?;
--- a/crates/bilberry-steward/src/steward.rs
+++ b/crates/bilberry-steward/src/steward.rs
@@ -242,7 +242,7 @@
             upstream.total_tokens = report.total_tokens;
         });
         if let Some(incarnation) = state.incarnation {
-            self.cache.enter(incarnation);
+            self.cache.observe_incarnation(incarnation);
         }
         self.record_completed_load(report, state, now);
         let queued = report.queued;
@@ -262,7 +262,8 @@
     /// rollout takes.
     fn next_load(&self, report: &EngineReport, state: &PollState) -> Option<NextLoad> {
         let load_for = |served: &ModelVersion| {
-            let (version, since) = self.newest.lacking(&served.model, served.version)?;
+            let (version, since) =
+                self.newest.missing_version(&served.model, served.version)?;
             let weights = ModelVersion { model: served.model.clone(), version };
             let planned_at = state.rollout.starts_at(since, self.newest.place());
             let starts_at = planned_at.max(state.next_order_at);
--- a/crates/bilberry-steward/tests/incarnations.rs
+++ b/crates/bilberry-steward/tests/incarnations.rs
@@ -215,7 +215,7 @@
             ..Answers::default()
         });
         let view = Arc::new(CacheView::new());
-        view.enter(incarnation(1));
+        view.observe_incarnation(incarnation(1));
         let (_, mut changes) = view.subscribe();
         tokio::spawn(view.clone().follow(engine.clone()));
         assert_eq!(next(&mut changes).await, snapshot(1, &[1]));
@@ -232,7 +232,7 @@
         while !is_requested() {
             tokio::task::yield_now().await;
         }
-        view.enter(incarnation(2));
+        view.observe_incarnation(incarnation(2));
         assert_eq!(next(&mut changes).await, snapshot(2, &[]));
         assert_eq!(view.epoch(), 0);
         engine.change(|answers| {
@@ -271,15 +271,15 @@
     // whose cache is empty. Notices must not change the cache contents either, as only the
     // engine's own events report removals.
     let view = CacheView::new();
-    view.enter(Incarnation { born_at: UnixMs(2) });
+    view.observe_incarnation(Incarnation { born_at: UnixMs(2) });
     let (_, mut changes) = view.subscribe();
     let notice = |born_ms| ReadingNotice {
         read: vec![7],
         born_ms: Some(born_ms),
         ..ReadingNotice::default()
     };
-    view.pass_on(notice(1));
-    view.pass_on(notice(2));
+    view.forward_reading(notice(1));
+    view.forward_reading(notice(2));
     let forwarded = next(&mut changes).await;
     assert_eq!((forwarded.added, forwarded.born_ms), (vec![7], Some(2)));
     assert!(changes.is_empty());
