--- a/crates/bilberry-platform/src/error.rs
+++ b/crates/bilberry-platform/src/error.rs
@@ -1,20 +1,20 @@
-//! How a call to the platform can fail.
+//! Errors of calls to the platform.
 
 use thiserror::Error;
 
-/// How a call to the platform can fail.
+/// An error from a call to the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PlatformError {
-    /// The breaker is open; the call was not made.
+    /// The circuit breaker is open; the call was not made.
     #[error("the platform did not answer lately; the call was not made, try again later")]
     Open,
-    /// The call failed or got no answer; a write may have taken effect.
+    /// The call failed or timed out; a write may have been applied.
     #[error("the platform gave no answer: {0}; read back before writing again")]
     Unclear(String),
-    /// The object has another version than the one expected.
+    /// The object's version differs from the expected one.
     #[error("the object is at version {0}, not at the expected one; read it and retry")]
     Conflict(u64),
-    /// The platform refused the call.
+    /// The platform rejected the call.
     #[error("the platform refused the call: {0}; check the key and the value's size")]
     Refused(String),
 }
--- a/crates/bilberry-platform/src/http.rs
+++ b/crates/bilberry-platform/src/http.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP.
+//! HTTP client for the platform's object API.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,19 +30,19 @@
 use crate::Platform;
 use crate::PlatformError;
 
-/// The largest answer that is read.
-const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
+/// The maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// The shortest time for which the breaker stays open.
-const LEAST_OPEN_MS: u64 = 200;
+/// The minimum time for which the circuit breaker stays open.
+const MIN_OPEN_MS: u64 = 200;
 
-/// The longest time for which the breaker stays open.
-const MOST_OPEN_MS: u64 = 5_000;
+/// The maximum time for which the circuit breaker stays open.
+const MAX_OPEN_MS: u64 = 5_000;
 
-/// Calls to the platform: each with a deadline, behind one breaker.
+/// An HTTP client with a deadline for each call and one circuit breaker for all.
 ///
-/// It knows nothing of paths or bodies, so that every dialect of the object API
-/// shares it.
+/// It is independent of paths and body formats, so that all dialects of the
+/// object API can use it.
 #[derive(Debug, Clone)]
 pub struct StoreClient {
     shared: Arc<Shared>,
@@ -53,23 +53,23 @@
     client: Client<HttpConnector, Full<Bytes>>,
     address: SocketAddr,
     call_ms: u64,
-    most_open_ms: u64,
+    max_open_ms: u64,
     health: Mutex<Health>,
 }
 
-/// How the last calls went.
+/// The circuit breaker and the number of consecutive consecutive_failures.
 #[derive(Debug, Default)]
 struct Health {
     breaker: Breaker,
-    failures: u32,
+    consecutive_failures: u32,
 }
 
 impl StoreClient {
-    /// Creates a client; no call is made yet.
+    /// Creates a client without opening a connection.
     ///
-    /// A call is given up after `call_ms`; the breaker stays open for at most
-    /// `most_open_ms`.
-    pub fn new(address: SocketAddr, call_ms: u64, most_open_ms: u64) -> Self {
+    /// Calls time out after `call_ms`; the circuit breaker stays open for at most
+    /// `max_open_ms`.
+    pub fn new(address: SocketAddr, call_ms: u64, max_open_ms: u64) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(Duration::from_millis(call_ms)));
@@ -77,11 +77,11 @@
             .retry_canceled_requests(false)
             .build(connector);
         let health = Mutex::new(Health::default());
-        let shared = Shared { client, address, call_ms, most_open_ms, health };
+        let shared = Shared { client, address, call_ms, max_open_ms, health };
         Self { shared: Arc::new(shared) }
     }
 
-    /// Makes a call that the platform may hold for `wait_ms` before it answers.
+    /// Makes a call whose deadline is extended by `wait_ms` for long polling.
     pub async fn call(
         &self,
         method: Method,
@@ -92,7 +92,7 @@
         self.call_with(method, path, &[], body, wait_ms).await
     }
 
-    /// Makes a call with headers of its own.
+    /// Makes a call with additional headers.
     pub async fn call_with(
         &self,
         method: Method,
@@ -101,11 +101,11 @@
         body: Bytes,
         wait_ms: u64,
     ) -> Result<(StatusCode, Bytes), PlatformError> {
-        let answer = self.exchange(method, path, headers, body, wait_ms).await?;
-        Ok((answer.status(), answer.into_body()))
+        let response = self.exchange(method, path, headers, body, wait_ms).await?;
+        Ok((response.status(), response.into_body()))
     }
 
-    /// Makes a call with headers of its own; returns the answer with its headers.
+    /// Makes a call with additional headers and returns the whole response.
     pub async fn exchange(
         &self,
         method: Method,
@@ -117,18 +117,18 @@
         self.admit()?;
         let allowed = Duration::from_millis(self.shared.call_ms + wait_ms);
         let sent = self.send(method, path, headers, body);
-        let answer = match timeout(allowed, sent).await {
-            Ok(answer) => answer,
+        let response = match timeout(allowed, sent).await {
+            Ok(response) => response,
             Err(_) => Err("the deadline passed".to_string()),
         };
-        match answer {
-            Ok(answer) if is_failure(answer.status()) => {
+        match response {
+            Ok(response) if is_failure(response.status()) => {
                 self.note_failure();
-                Err(PlatformError::Unclear(format!("status {}", answer.status())))
+                Err(PlatformError::Unclear(format!("status {}", response.status())))
             }
-            Ok(answer) => {
+            Ok(response) => {
                 *self.shared.health.lock().unwrap() = Health::default();
-                Ok(answer)
+                Ok(response)
             }
             Err(reason) => {
                 self.note_failure();
@@ -137,9 +137,9 @@
         }
     }
 
-    /// Reports whether the last call was answered.
+    /// Returns whether the last call succeeded.
     pub fn is_up(&self) -> bool {
-        self.shared.health.lock().unwrap().failures == 0
+        self.shared.health.lock().unwrap().consecutive_failures == 0
     }
 
     async fn send(
@@ -160,16 +160,16 @@
         }
         let request = request.body(Full::new(body)).map_err(|error| error.to_string())?;
         let sent = self.shared.client.request(request).await;
-        let answer = sent.map_err(|error| error.to_string())?;
-        let (head, body) = answer.into_parts();
-        let body = Limited::new(body, MAX_ANSWER_BYTES);
+        let response = sent.map_err(|error| error.to_string())?;
+        let (head, body) = response.into_parts();
+        let body = Limited::new(body, MAX_RESPONSE_BYTES);
         let body = body.collect().await.map_err(|error| error.to_string())?;
         Ok(Response::from_parts(head, body.to_bytes()))
     }
 
-    /// Refuses a call at once while the platform is known to be down.
+    /// Rejects the call immediately while the circuit breaker is open.
     ///
-    /// Without it every caller of an outage would hang for its whole deadline.
+    /// Otherwise each call during an outage would block until its deadline.
     fn admit(&self) -> Result<(), PlatformError> {
         match self.shared.health.lock().unwrap().breaker.admit(SystemClock.now()) {
             true => Ok(()),
@@ -179,11 +179,12 @@
 
     fn note_failure(&self) {
         let mut health = self.shared.health.lock().unwrap();
-        health.failures = health.failures.saturating_add(1);
-        // Jitter keeps a fleet from knocking in step when the platform returns.
+        health.consecutive_failures = health.consecutive_failures.saturating_add(1);
+        // Jitter prevents synchronized retries by all processes when the platform
+        // recovers.
         let unit = rand::random_range(0.5..1.0);
-        let most_ms = self.shared.most_open_ms;
-        let open_ms = backoff_ms(health.failures, LEAST_OPEN_MS, most_ms, unit);
+        let max_ms = self.shared.max_open_ms;
+        let open_ms = backoff_ms(health.consecutive_failures, MIN_OPEN_MS, max_ms, unit);
         health.breaker.fail(SystemClock.now().plus_ms(open_ms));
     }
 }
@@ -196,14 +197,14 @@
 }
 
 #[derive(Deserialize)]
-struct VersionAnswer {
+struct VersionResponse {
     version: u64,
 }
 
 impl HttpPlatform {
-    /// Creates an adapter; no call is made yet.
+    /// Creates an adapter without opening a connection.
     pub fn new(address: SocketAddr, call_ms: u64, watch_ms: u64) -> Self {
-        Self { store: StoreClient::new(address, call_ms, MOST_OPEN_MS), watch_ms }
+        Self { store: StoreClient::new(address, call_ms, MAX_OPEN_MS), watch_ms }
     }
 }
 
@@ -226,9 +227,9 @@
         let path = format!("/v1/objects/{key}?if_version={expected}");
         let body = Bytes::copy_from_slice(value.as_bytes());
         match self.store.call(Method::PUT, &path, body, 0).await? {
-            (StatusCode::OK, body) => Ok(decode::<VersionAnswer>(&body)?.version),
+            (StatusCode::OK, body) => Ok(decode::<VersionResponse>(&body)?.version),
             (StatusCode::CONFLICT, body) => {
-                Err(PlatformError::Conflict(decode::<VersionAnswer>(&body)?.version))
+                Err(PlatformError::Conflict(decode::<VersionResponse>(&body)?.version))
             }
             (status, body) => Err(refused(status, &body)),
         }
@@ -239,7 +240,7 @@
         match self.store.call(Method::DELETE, &path, Bytes::new(), 0).await? {
             (StatusCode::OK, _) => Ok(()),
             (StatusCode::CONFLICT, body) => {
-                Err(PlatformError::Conflict(decode::<VersionAnswer>(&body)?.version))
+                Err(PlatformError::Conflict(decode::<VersionResponse>(&body)?.version))
             }
             (status, body) => Err(refused(status, &body)),
         }
@@ -277,10 +278,10 @@
 
 fn decode<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, PlatformError> {
     serde_json::from_slice(body)
-        .map_err(|error| PlatformError::Unclear(format!("unreadable answer: {error}")))
+        .map_err(|error| PlatformError::Unclear(format!("unreadable response: {error}")))
 }
 
-/// Reports whether a status says that the platform could not do its work.
+/// Returns whether a status means that the platform is unavailable or overloaded.
 fn is_failure(status: StatusCode) -> bool {
     status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS
 }
--- a/crates/bilberry-platform/src/lib.rs
+++ b/crates/bilberry-platform/src/lib.rs
@@ -1,7 +1,8 @@
-//! The platform's object API: the port, and its adapter over HTTP.
+//! The trait for the platform's object API, and its implementation over HTTP.
 //!
-//! What lasts or is agreed between processes lives there. Each call has a
-//! deadline, and a breaker answers at once while the platform is down.
+//! The object API holds persistent state and state that processes agree on. Each
+//! call has a deadline, and a circuit breaker rejects calls immediately while the
+//! platform is down.
 
 mod error;
 mod http;
--- a/crates/bilberry-platform/src/object.rs
+++ b/crates/bilberry-platform/src/object.rs
@@ -1,43 +1,43 @@
-//! What the platform stores and lists.
+//! Data types of the platform's object API.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One stored object.
+/// A stored object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Object {
     /// The key.
     pub key: String,
-    /// The version, which grows with each write.
+    /// The version, which increases with each write.
     pub version: u64,
-    /// The value; absent in a watch once the object is deleted.
+    /// The value; `None` in a watch result if the object was deleted.
     pub value: Option<String>,
 }
 
-/// Objects below a prefix, or those that changed.
+/// The objects under a prefix, or those that changed since a position.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
-    /// The point in the store's history that the listing shows.
+    /// The position in the store's change history at which the listing was taken.
     pub position: u64,
     /// The objects.
     pub objects: Vec<Object>,
 }
 
-/// Whether a host is to be used.
+/// The availability of a host.
 #[derive(Debug, Copy, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
     /// The host is up.
     Live,
-    /// The host is about to go.
+    /// The host is about to be removed.
     Leaving,
 }
 
-/// One line of the host list, which lags.
+/// An entry of the host list, which lags behind the actual state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
-    /// The host.
+    /// The name of the host.
     pub host: String,
-    /// Whether it is to be used.
+    /// The availability of the host.
     pub state: HostState,
 }
--- a/crates/bilberry-platform/src/port.rs
+++ b/crates/bilberry-platform/src/port.rs
@@ -1,4 +1,4 @@
-//! The port through which the system meets the platform.
+//! The trait through which the system accesses the platform.
 
 use std::future::Future;
 
@@ -15,7 +15,8 @@
         key: &str,
     ) -> impl Future<Output = Result<Option<Object>, PlatformError>> + Send;
 
-    /// Writes an object if it is at version `expected`; zero means absent.
+    /// Writes an object if its version is `expected`; zero means that the object
+    /// must not exist.
     fn write(
         &self,
         key: &str,
@@ -23,20 +24,20 @@
         expected: u64,
     ) -> impl Future<Output = Result<u64, PlatformError>> + Send;
 
-    /// Deletes an object if it is at version `expected`.
+    /// Deletes an object if its version is `expected`.
     fn delete(
         &self,
         key: &str,
         expected: u64,
     ) -> impl Future<Output = Result<(), PlatformError>> + Send;
 
-    /// Lists the objects below a prefix.
+    /// Lists the objects under a prefix.
     fn list(
         &self,
         prefix: &str,
     ) -> impl Future<Output = Result<Listing, PlatformError>> + Send;
 
-    /// Waits for changes below a prefix after `position`.
+    /// Waits for changes under a prefix after `position`.
     fn watch(
         &self,
         prefix: &str,
@@ -47,24 +48,24 @@
     fn hosts(&self)
     -> impl Future<Output = Result<Vec<HostEntry>, PlatformError>> + Send;
 
-    /// Reports whether the platform answered lately.
+    /// Returns whether the last call to the platform succeeded.
     fn is_up(&self) -> bool;
 }
 
-/// How a conditional write came out.
+/// The outcome of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Settled {
-    /// The write is in force, at this version.
+    /// The write was applied and produced this version.
     Written(u64),
-    /// Somebody else's value stands.
+    /// The object holds another writer's value.
     Lost(Object),
 }
 
-/// Writes on condition, and reads back when the answer was lost.
+/// Performs a conditional write and reads the object back unless it succeeded.
 ///
-/// A lost answer leaves the writer in doubt: told "conflict" on a second try it
-/// would take its own write for a rival's. `is_ours` must recognise the value by
-/// a token that no other writer uses.
+/// If the response to an applied write is lost, a retry fails with a conflict that
+/// the writer itself has caused. `is_ours` must identify the writer's value by a
+/// token that no other writer uses.
 pub async fn settle<P: Platform>(
     platform: &P,
     key: &str,
@@ -83,7 +84,7 @@
             Ok(Settled::Written(found.version))
         }
         (Some(found), _) if found.version != expected => Ok(Settled::Lost(found)),
-        // The write has not taken effect yet and still may: stay in doubt.
+        // The write has not been applied but still may be: the outcome is unknown.
         (_, Some(error)) => Err(error),
         (_, None) => Err(PlatformError::Unclear("the object vanished".to_string())),
     }
