--- a/crates/bilberry-config/src/compile.rs
+++ b/crates/bilberry-config/src/compile.rs
@@ -1,4 +1,4 @@
-//! Merging and checking pieces.
+//! Merging and validating configuration pieces.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -18,12 +18,12 @@
 use crate::Upstream;
 use crate::UpstreamKind;
 
-/// All pieces, merged and checked, as the request path reads them.
+/// The merged and validated configuration, indexed for request handling.
 #[derive(Debug, Default)]
 pub struct Compiled {
-    /// The revision; zero before the first configuration.
+    /// The revision; zero if no configuration has been applied yet.
     pub revision: u64,
-    /// Customers by the hash of a key.
+    /// Customers by the hash of an API key.
     pub by_key_hash: HashMap<KeyHash, Arc<Customer>>,
     /// Models by name.
     pub models: BTreeMap<Name, Arc<Model>>,
@@ -37,7 +37,7 @@
     pub services: BTreeMap<Name, Arc<Service>>,
 }
 
-/// Parses and merges files in the order given and checks the whole.
+/// Parses and merges files in the given order and validates the result.
 pub fn compile(revision: u64, files: &[PieceFile]) -> Result<Compiled, ConfigError> {
     let mut pieces = Vec::new();
     for file in files {
@@ -46,7 +46,7 @@
     merge(revision, &pieces)
 }
 
-/// Merges parsed files in the order given and checks the whole.
+/// Merges parsed files in the given order and validates the result.
 pub fn merge(
     revision: u64,
     pieces: &[(Name, Arc<Piece>)],
@@ -58,43 +58,43 @@
     merge.finish(revision)
 }
 
-/// Things of one kind by name, each with the file that defined it.
-type Defined<T> = BTreeMap<Name, (Name, Arc<T>)>;
+/// Definitions of one kind by name, each with the file that contains it.
+type Definitions<T> = BTreeMap<Name, (Name, Arc<T>)>;
 
-/// The merge in progress.
+/// The state of a merge.
 #[derive(Debug, Default)]
 struct Merge {
-    customers: Defined<Customer>,
-    models: Defined<Model>,
-    pools: Defined<Pool>,
-    upstreams: Defined<Upstream>,
-    services: Defined<Service>,
+    customers: Definitions<Customer>,
+    models: Definitions<Model>,
+    pools: Definitions<Pool>,
+    upstreams: Definitions<Upstream>,
+    services: Definitions<Service>,
     owners: BTreeMap<Name, Name>,
 }
 
 impl Merge {
     fn add(&mut self, file: &Name, piece: &Piece) -> Result<(), ConfigError> {
-        self.own(file, &piece.owner)?;
-        for it in &piece.customer {
-            put(&mut self.customers, "customer", file, &it.name, it)?;
+        self.record_owner(file, &piece.owner)?;
+        for item in &piece.customer {
+            define(&mut self.customers, "customer", file, &item.name, item)?;
         }
-        for it in &piece.model {
-            put(&mut self.models, "model", file, &it.name, it)?;
+        for item in &piece.model {
+            define(&mut self.models, "model", file, &item.name, item)?;
         }
-        for it in &piece.pool {
-            put(&mut self.pools, "pool", file, &it.name, it)?;
+        for item in &piece.pool {
+            define(&mut self.pools, "pool", file, &item.name, item)?;
         }
-        for it in &piece.upstream {
-            put(&mut self.upstreams, "upstream", file, &it.name, it)?;
+        for item in &piece.upstream {
+            define(&mut self.upstreams, "upstream", file, &item.name, item)?;
         }
-        for it in &piece.service {
-            put(&mut self.services, "service", file, &it.name, it)?;
+        for item in &piece.service {
+            define(&mut self.services, "service", file, &item.name, item)?;
         }
         Ok(())
     }
 
-    /// Notes the owner of a file, unless another business has a file of its name.
-    fn own(&mut self, file: &Name, owner: &Name) -> Result<(), ConfigError> {
+    /// Records the owner of a file; fails if another business has a file of that name.
+    fn record_owner(&mut self, file: &Name, owner: &Name) -> Result<(), ConfigError> {
         match self.owners.insert(file.clone(), owner.clone()) {
             None => Ok(()),
             Some(first) => Err(ConfigError::Twice {
@@ -111,7 +111,7 @@
         self.check_pools()?;
         self.check_upstreams()?;
         let by_key_hash = index_keys(&self.customers)?;
-        let upstreams = shared(self.upstreams);
+        let upstreams = values_by_name(self.upstreams);
         let mut by_pool: BTreeMap<Name, Vec<Arc<Upstream>>> = BTreeMap::new();
         for upstream in upstreams.values() {
             by_pool.entry(upstream.pool.clone()).or_default().push(upstream.clone());
@@ -119,11 +119,11 @@
         Ok(Compiled {
             revision,
             by_key_hash,
-            models: shared(self.models),
-            pools: shared(self.pools),
+            models: values_by_name(self.models),
+            pools: values_by_name(self.pools),
             upstreams,
             by_pool,
-            services: shared(self.services),
+            services: values_by_name(self.services),
         })
     }
 
@@ -145,11 +145,18 @@
             }
             for model in &customer.models {
                 let known = self.models.contains_key(model);
-                need(known, file, "customer", &customer.name, "model", model)?;
+                require_defined(known, file, "customer", &customer.name, "model", model)?;
             }
             for service in &customer.services {
                 let known = self.services.contains_key(service);
-                need(known, file, "customer", &customer.name, "service", service)?;
+                require_defined(
+                    known,
+                    file,
+                    "customer",
+                    &customer.name,
+                    "service",
+                    service,
+                )?;
             }
         }
         Ok(())
@@ -181,15 +188,29 @@
     fn check_upstreams(&self) -> Result<(), ConfigError> {
         for (file, model) in self.models.values() {
             let known = self.pools.contains_key(&model.pool);
-            need(known, file, "model", &model.name, "pool", &model.pool)?;
+            require_defined(known, file, "model", &model.name, "pool", &model.pool)?;
         }
         for (file, service) in self.services.values() {
             let known = self.pools.contains_key(&service.pool);
-            need(known, file, "service", &service.name, "pool", &service.pool)?;
+            require_defined(
+                known,
+                file,
+                "service",
+                &service.name,
+                "pool",
+                &service.pool,
+            )?;
         }
         for (file, upstream) in self.upstreams.values() {
             let known = self.pools.contains_key(&upstream.pool);
-            need(known, file, "upstream", &upstream.name, "pool", &upstream.pool)?;
+            require_defined(
+                known,
+                file,
+                "upstream",
+                &upstream.name,
+                "pool",
+                &upstream.pool,
+            )?;
             let value = bad_value(file, "upstream", &upstream.name);
             if Place::parse(&upstream.place).is_none() {
                 return Err(value("place", "is no place", "write it as `region/hall`"));
@@ -210,15 +231,15 @@
     }
 }
 
-/// Indexes customers by the hashes of their keys.
+/// Indexes customers by the hashes of their API keys.
 fn index_keys(
-    customers: &Defined<Customer>,
+    customers: &Definitions<Customer>,
 ) -> Result<HashMap<KeyHash, Arc<Customer>>, ConfigError> {
     let mut index: HashMap<KeyHash, Arc<Customer>> = HashMap::new();
     for (file, customer) in customers.values() {
         for hash in &customer.key_hashes {
             let Some(other) = index.insert(*hash, customer.clone()) else { continue };
-            // One key for two customers would let one read the other's cache.
+            // A key shared by two customers would let one read the other's cache.
             return Err(ConfigError::Twice {
                 kind: "key hash",
                 name: String::from(*hash),
@@ -230,9 +251,9 @@
     Ok(index)
 }
 
-/// Defines a thing, unless a file has defined it before.
-fn put<T>(
-    map: &mut Defined<T>,
+/// Adds a definition; fails if an earlier file contains one of the same name.
+fn define<T>(
+    map: &mut Definitions<T>,
     kind: &'static str,
     file: &Name,
     name: &Name,
@@ -249,8 +270,8 @@
     }
 }
 
-/// Refuses a name that no piece defines.
-fn need(
+/// Fails if the referenced name is not defined in any piece.
+fn require_defined(
     known: bool,
     file: &Name,
     kind: &'static str,
@@ -270,8 +291,8 @@
     }
 }
 
-/// Returns what builds the errors on values of one thing from key, problem and
-/// remedy.
+/// Returns a function that builds an error about a value of one definition from
+/// the key, the problem and the remedy.
 fn bad_value(
     file: &Name,
     kind: &'static str,
@@ -287,6 +308,6 @@
     }
 }
 
-fn shared<T>(map: Defined<T>) -> BTreeMap<Name, Arc<T>> {
+fn values_by_name<T>(map: Definitions<T>) -> BTreeMap<Name, Arc<T>> {
     map.into_iter().map(|(name, (_, value))| (name, value)).collect()
 }
--- a/crates/bilberry-config/src/error.rs
+++ b/crates/bilberry-config/src/error.rs
@@ -1,8 +1,8 @@
-//! What can be wrong with settings and pieces, each with its remedy.
+//! Errors in settings and configuration pieces, each with a remedy.
 
 use thiserror::Error;
 
-/// Why a daemon refuses its settings.
+/// An error in the daemon's settings.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -13,24 +13,24 @@
         /// What the system said.
         reason: String,
     },
-    /// The text is no TOML, or a value has the wrong type.
+    /// The text is not valid TOML, or a value has the wrong type.
     #[error("{file}:{line}: {problem}; {remedy}")]
     Malformed {
         /// The settings file.
         file: String,
-        /// The line, from one.
+        /// The line number, starting at one.
         line: usize,
         /// What is wrong.
         problem: String,
-        /// What to do.
+        /// How to fix it.
         remedy: String,
     },
-    /// A key is missing or its value can't be used.
+    /// A key is missing or its value is invalid.
     #[error("{file}: key `{key}`: {problem}; {remedy}")]
     Key {
         /// The settings file.
         file: String,
-        /// The key, with its table.
+        /// The key, qualified with its table.
         key: String,
         /// What is wrong.
         problem: String,
@@ -39,7 +39,7 @@
     },
 }
 
-/// Why a folder of pieces is refused.
+/// An error in a folder of configuration pieces.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The folder can't be read.
@@ -50,7 +50,7 @@
         /// What the system said.
         reason: String,
     },
-    /// A piece is no TOML or has an unknown key.
+    /// A piece is not valid TOML or has an unknown key.
     #[error("{file}:{line}: {problem}; {remedy}")]
     Malformed {
         /// The piece.
@@ -62,13 +62,13 @@
         /// What to do.
         remedy: String,
     },
-    /// Two pieces define one thing.
+    /// Two pieces contain a definition of the same kind and name.
     #[error(
         "{kind} `{name}` is defined in both {first} and {second}; \
          remove it from one of them"
     )]
     Twice {
-        /// The kind of the thing.
+        /// The kind of the definition.
         kind: &'static str,
         /// Its name.
         name: String,
@@ -77,7 +77,7 @@
         /// The second file.
         second: String,
     },
-    /// A piece names something that no piece defines.
+    /// A piece refers to a name that no piece defines.
     #[error(
         "{file}: {kind} `{name}` names the {wanted_kind} `{wanted}`, which no piece \
          defines; define it or correct the name"
@@ -85,21 +85,21 @@
     Dangling {
         /// The piece.
         file: String,
-        /// The kind of the thing that names another.
+        /// The kind of the referring definition.
         kind: &'static str,
         /// Its name.
         name: String,
-        /// The kind of the thing that is named.
+        /// The kind of the undefined name.
         wanted_kind: &'static str,
-        /// Its name.
+        /// The undefined name.
         wanted: String,
     },
-    /// A value is out of its range.
+    /// A value is invalid or out of range.
     #[error("{file}: {kind} `{name}`: `{key}` {problem}; {remedy}")]
     Value {
         /// The piece.
         file: String,
-        /// The kind of the thing.
+        /// The kind of the definition.
         kind: &'static str,
         /// Its name.
         name: String,
@@ -110,7 +110,7 @@
         /// What to do.
         remedy: &'static str,
     },
-    /// A piece belongs to another business than the one that applies it.
+    /// A piece is owned by a different business than the one that applies it.
     #[error(
         "{file}: the piece is owned by `{owner}`, but you apply as `{applier}`; \
          leave it to its owner or use that owner's token"
@@ -125,20 +125,20 @@
     },
 }
 
-/// Splits an error of the TOML parser into line, problem and remedy.
-pub(crate) fn explain_toml(
+/// Converts an error of the TOML parser into a line number, problem and remedy.
+pub(crate) fn describe_toml_error(
     text: &str,
     error: &toml::de::Error,
 ) -> (usize, String, String) {
     let start = error.span().map_or(0, |span| span.start);
     let line = text[..start.min(text.len())].matches('\n').count() + 1;
     let problem = error.message().replace('\n', " ");
-    let remedy = remedy_of(&problem);
+    let remedy = suggest_remedy(&problem);
     (line, problem, remedy)
 }
 
-/// Returns the remedy for a problem of the TOML parser.
-fn remedy_of(problem: &str) -> String {
+/// Returns the remedy for an error message of the TOML parser.
+fn suggest_remedy(problem: &str) -> String {
     let Some(known) = problem.strip_prefix("unknown field `") else {
         return match problem {
             p if p.starts_with("missing field") => "add the key",
@@ -150,14 +150,14 @@
         .to_string();
     };
     let field = known.split('`').next().unwrap_or_default();
-    match same_stem(field, known) {
+    match find_key_with_other_unit(field, known) {
         Some(other) => format!("the unit is part of the name: use `{other}`"),
         None => "remove the key or correct its spelling".to_string(),
     }
 }
 
-/// Finds a known key that differs from `field` in its unit only.
-fn same_stem(field: &str, problem: &str) -> Option<String> {
+/// Finds a known key that differs from `field` only in its unit suffix.
+fn find_key_with_other_unit(field: &str, problem: &str) -> Option<String> {
     let (stem, _) = field.rsplit_once('_').unwrap_or((field, ""));
     problem
         .split('`')
--- a/crates/bilberry-config/src/folder.rs
+++ b/crates/bilberry-config/src/folder.rs
@@ -1,4 +1,4 @@
-//! A folder of pieces, as operators keep it.
+//! The operators' folder of configuration files.
 
 use std::path::Path;
 
@@ -11,13 +11,13 @@
 /// One file of the folder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PieceFile {
-    /// The file's name, which decides the order of merging.
+    /// The file's name, which determines the merge order.
     pub file: Name,
-    /// The text.
+    /// The content of the file.
     pub text: String,
 }
 
-/// The files of a folder, in the order of their names.
+/// The files of a folder, sorted by name.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Folder {
     /// The files.
--- a/crates/bilberry-config/src/head.rs
+++ b/crates/bilberry-config/src/head.rs
@@ -1,4 +1,4 @@
-//! The head: which pieces are in force.
+//! The head, which lists the active configuration pieces.
 
 use std::collections::BTreeSet;
 
@@ -10,90 +10,91 @@
 use crate::PieceFile;
 use crate::hash_text;
 
-/// How many earlier revisions the head remembers.
+/// The maximum number of revisions in the head's history.
 const HISTORY_LENGTH: usize = 50;
 
-/// The object that says which pieces are in force.
+/// The stored object that lists the active pieces.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// The revision; each change adds one.
+    /// The revision, which increases with each change.
     pub revision: u64,
-    /// The pieces in force, in the order of merging.
+    /// The active pieces, in merge order.
     pub pieces: Vec<PieceRef>,
-    /// How it came about, latest last.
+    /// The most recent revisions, latest last.
     pub history: Vec<Revised>,
 }
 
-/// A piece in force.
+/// A reference to an active piece.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PieceRef {
     /// The file's name.
     pub file: Name,
     /// The business that owns it.
     pub owner: Name,
-    /// The hash of the text, which is the name of the stored piece.
+    /// The hash of the text, under which the piece is stored.
     pub hash: String,
 }
 
-/// One revision in the history.
+/// A revision in the history.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revised {
     /// The revision.
     pub revision: u64,
-    /// The random token of the apply, by which a lost answer is recognised.
+    /// The random token of the apply request; identifies the write if its response
+    /// is lost.
     pub token: String,
-    /// Whose token made the change.
+    /// The owner of the token that made the change.
     pub author: Name,
-    /// When it was accepted.
+    /// The time at which it was accepted.
     pub at: UnixMs,
     /// The files that changed.
     pub changes: Vec<Change>,
 }
 
-/// One changed file.
+/// A changed file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     /// The file's name.
     pub file: Name,
-    /// What happened to it: `added`, `changed` or `removed`.
+    /// The kind of change: `added`, `changed` or `removed`.
     pub what: Name,
 }
 
 impl Head {
-    /// Returns what would change if the files of `owners` became `files`.
+    /// Returns the changes from replacing the files of `owners` with `files`.
     pub fn changes(&self, owners: &BTreeSet<Name>, files: &[PieceFile]) -> Vec<Change> {
         let mut changes = Vec::new();
-        let mut note = |file: &Name, what: &str| {
+        let mut push = |file: &Name, what: &str| {
             changes.push(Change { file: file.clone(), what: what.into() });
         };
         for piece in files {
             match self.pieces.iter().find(|known| known.file == piece.file) {
-                None => note(&piece.file, "added"),
+                None => push(&piece.file, "added"),
                 Some(known) if known.hash != hash_text(&piece.text) => {
-                    note(&piece.file, "changed");
+                    push(&piece.file, "changed");
                 }
                 Some(_) => {}
             }
         }
         for known in self.pieces.iter().filter(|known| owners.contains(&known.owner)) {
             if !files.iter().any(|piece| piece.file == known.file) {
-                note(&known.file, "removed");
+                push(&known.file, "removed");
             }
         }
         changes
     }
 
-    /// Returns the pieces that stay when those of `owners` are replaced.
+    /// Returns the pieces that remain when those of `owners` are replaced.
     pub fn kept(&self, owners: &BTreeSet<Name>) -> Vec<PieceRef> {
         let kept = self.pieces.iter().filter(|known| !owners.contains(&known.owner));
         kept.cloned().collect()
     }
 
-    /// Returns the next head, whose revision is above `in_force` too.
+    /// Returns the next head, whose revision is also greater than `in_force`.
     ///
-    /// Processes take only a higher revision than they have. A platform that came back
-    /// from an older copy has a lower one, and a change that was given the next would
-    /// be in force nowhere.
+    /// Processes install only a revision greater than their own. After the platform
+    /// is restored from an older copy its revision is lower, and a change numbered
+    /// from it would not be installed anywhere.
     pub fn next(
         &self,
         in_force: u64,
--- a/crates/bilberry-config/src/lib.rs
+++ b/crates/bilberry-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! The daemon's settings, and the operators' folder of small files.
+//! The daemon's settings, and the shared configuration in the operators' folder.
 //!
-//! [`Settings`] is what one process needs to start. A [`Folder`] of pieces is
-//! what operators apply; [`compile`] merges and checks the pieces, and the
-//! [`Head`] names those in force.
+//! [`Settings`] holds what one process needs to start. Operators apply a
+//! [`Folder`] of configuration pieces; [`compile`] merges and validates the
+//! pieces, and the [`Head`] lists the active ones.
 
 mod compile;
 mod error;
--- a/crates/bilberry-config/src/piece.rs
+++ b/crates/bilberry-config/src/piece.rs
@@ -1,4 +1,4 @@
-//! What operators write into the folder.
+//! The schema of the configuration files in the operators' folder.
 
 use std::sync::Arc;
 
@@ -8,12 +8,12 @@
 
 use crate::ConfigError;
 use crate::PieceFile;
-use crate::error::explain_toml;
+use crate::error::describe_toml_error;
 
-/// The content of one file, parsed once and shared by all revisions that hold it.
+/// The content of one file, parsed once and shared by all revisions that contain it.
 ///
-/// With 48,000 customers a change of one file must not cost the parsing of all:
-/// neither the time, nor the memory of a second copy.
+/// With 48,000 customers, parsing all files again when one changes would cost too
+/// much time, and the memory of a second copy.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Piece {
@@ -40,25 +40,25 @@
     /// Parses a file.
     pub fn parse(file: &PieceFile) -> Result<Self, ConfigError> {
         toml::from_str(&file.text).map_err(|error| {
-            let (line, problem, remedy) = explain_toml(&file.text, &error);
+            let (line, problem, remedy) = describe_toml_error(&file.text, &error);
             ConfigError::Malformed { file: file.file.to_string(), line, problem, remedy }
         })
     }
 
-    /// Drops the customers, for a process that knows them by their requests.
+    /// Removes the customers, for a process that learns of them from requests.
     pub fn without_customers(mut self) -> Self {
         self.customer = Vec::new();
         self
     }
 }
 
-/// The BLAKE3 hash of a key, written in hexadecimal.
+/// The BLAKE3 hash of an API key, serialized in hexadecimal.
 #[derive(Debug, Copy, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct KeyHash(blake3::Hash);
 
 impl KeyHash {
-    /// Hashes a key.
+    /// Hashes an API key.
     pub fn of(key: &str) -> Self {
         Self(blake3::hash(key.as_bytes()))
     }
@@ -80,27 +80,27 @@
     }
 }
 
-/// Somebody whose requests are served.
+/// A customer, with its API keys and limits.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
     /// The name.
     pub name: Name,
-    /// The BLAKE3 hashes of the customer's keys.
+    /// The BLAKE3 hashes of the customer's API keys.
     pub key_hashes: Vec<KeyHash>,
-    /// The share of a busy upstream, against other customers' weights.
+    /// The share of a busy upstream, relative to the weights of other customers.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Requests of a higher priority go before all of a lower one.
+    /// The priority; requests of a higher priority are served before all others.
     #[serde(default)]
     pub priority: u8,
-    /// How many requests a second are accepted.
+    /// The maximum rate of accepted requests per second.
     #[serde(default = "default_rate_per_s")]
     pub rate_per_s: f64,
-    /// How many requests may be in progress.
+    /// The maximum number of requests in progress.
     #[serde(default = "default_concurrency")]
     pub concurrency: u32,
-    /// How long a request may take when the caller does not say.
+    /// The deadline of requests that don't specify one.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
     /// The models that the customer may use.
@@ -119,33 +119,33 @@
     pub name: Name,
     /// The pool that serves it.
     pub pool: Name,
-    /// The version of the weights that its engines are to run.
+    /// The version of the weights that its engines should run.
     pub weights: Name,
-    /// The adapter; empty for the bare model.
+    /// The adapter; empty for the base model.
     #[serde(default)]
     pub adapter: Name,
-    /// How many tokens an answer has when the caller does not say.
+    /// The maximum number of output tokens if the request does not specify one.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
 }
 
-/// Upstreams that serve the same things.
+/// A pool of interchangeable upstreams.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
     /// The name.
     pub name: Name,
-    /// The worth of recomputed against waited milliseconds; see the operators'
-    /// page on routing.
+    /// The cost of a millisecond of recomputation relative to one of waiting; see
+    /// the operators' page on routing.
     #[serde(default = "default_recompute_weight")]
     pub recompute_weight: f64,
-    /// How many upstreams are asked for each request.
+    /// The number of upstreams probed for each request.
     #[serde(default = "default_probes")]
     pub probes: usize,
     /// The routing policy: `probe`, `rendezvous`, `least_loaded`, `round_robin`.
     #[serde(default = "default_policy")]
     pub policy: Name,
-    /// How many engines may load weights at once.
+    /// The maximum number of engines that load weights at the same time.
     #[serde(default = "default_max_loads")]
     pub max_loads: usize,
 }
@@ -160,7 +160,7 @@
     Service,
 }
 
-/// One engine or plain server.
+/// An engine or a plain HTTP server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
@@ -168,17 +168,17 @@
     pub name: Name,
     /// The kind.
     pub kind: UpstreamKind,
-    /// The pool that it belongs to.
+    /// The pool to which it belongs.
     pub pool: Name,
-    /// The place, as `region/hall`.
+    /// The data centre, as `region/hall`.
     pub place: Name,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether it rejects orders with an outdated fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// How many requests it runs at once.
+    /// The maximum number of requests that it runs concurrently.
     #[serde(default = "default_max_running")]
     pub max_running: usize,
-    /// How many requests may wait for it.
+    /// The maximum length of its queue.
     #[serde(default = "default_queue_limit")]
     pub queue_limit: usize,
 }
@@ -187,14 +187,14 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The name in the path.
+    /// The name in the request path.
     pub name: Name,
     /// The pool that serves it.
     pub pool: Name,
-    /// The methods whose calls run at most once.
+    /// The HTTP methods whose calls must run at most once.
     #[serde(default = "default_non_repeatable")]
     pub non_repeatable_methods: Vec<Name>,
-    /// Whether such calls are run without a claim while the platform is down.
+    /// Whether such calls run without a claim while the platform is unavailable.
     #[serde(default)]
     pub run_without_claim: bool,
 }
--- a/crates/bilberry-config/src/settings.rs
+++ b/crates/bilberry-config/src/settings.rs
@@ -1,4 +1,4 @@
-//! What one process needs to know before it can start.
+//! The settings file of a process.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 
 use crate::SettingsError;
-use crate::error::explain_toml;
+use crate::error::describe_toml_error;
 
 /// The settings of one process.
 #[derive(Debug, Clone, Deserialize)]
@@ -17,43 +17,43 @@
 pub struct Settings {
     /// The name of the process, unique in the system.
     pub process: Name,
-    /// The host as the platform's host list names it.
+    /// The name of the host in the platform's host list.
     pub host: Name,
-    /// What the process does.
+    /// The role of the process.
     pub role: RoleName,
-    /// The place, as `region/hall`.
+    /// The data centre, as `region/hall`.
     pub place: Name,
-    /// Where the process listens.
+    /// The addresses on which the process listens.
     pub listen: Listen,
-    /// How the platform's object API is reached.
+    /// Access to the platform's object API.
     pub platform: PlatformSettings,
-    /// The upstream beside a sidecar.
+    /// The upstream of a sidecar.
     pub upstream: Option<UpstreamSettings>,
-    /// How peers are found.
+    /// Peer discovery.
     #[serde(default)]
     pub peers: PeerSettings,
-    /// The bounds on callers and on the stop.
+    /// Limits on callers and on shutdown.
     #[serde(default)]
     pub limits: Limits,
-    /// What is logged.
+    /// Logging.
     #[serde(default)]
     pub log: LogSettings,
-    /// Who may use the administration API.
+    /// The owners that may use the administration API, with their tokens.
     #[serde(default)]
     pub administrator: Vec<Administrator>,
 }
 
-/// What a process does.
+/// The role of a process.
 #[derive(Debug, Copy, Clone, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RoleName {
-    /// It takes callers' requests.
+    /// Accepts callers' requests.
     Entry,
-    /// It stands beside an upstream.
+    /// Runs next to an upstream.
     Sidecar,
 }
 
-/// Where a process listens.
+/// The addresses on which a process listens.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
@@ -65,90 +65,91 @@
     pub operations: SocketAddr,
     /// For the administration API; an entry only.
     pub administration: Option<SocketAddr>,
-    /// The address that peers are told, where it differs from `peers`.
+    /// The address advertised to peers, if it differs from `peers`.
     pub advertise: Option<SocketAddr>,
 }
 
-/// How the platform's object API is reached.
+/// Access to the platform's object API.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
     /// The address.
     pub address: SocketAddr,
-    /// How long one call may take.
+    /// The timeout of one call.
     #[serde(default = "default_platform_call_ms")]
     pub call_ms: u64,
-    /// How long a watch waits for news.
+    /// The long-polling time of a watch.
     #[serde(default = "default_watch_ms")]
     pub watch_ms: u64,
 }
 
-/// The upstream beside a sidecar.
+/// The upstream of a sidecar.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamSettings {
-    /// The name that the configuration gives it.
+    /// Its name in the configuration.
     pub name: Name,
     /// Its HTTP address.
     pub address: SocketAddr,
 }
 
-/// How peers are found.
+/// Peer discovery.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PeerSettings {
-    /// Peers that are asked when the platform is down at the start.
+    /// Peers to contact if the platform is unavailable at startup.
     pub seeds: Vec<SocketAddr>,
-    /// Whether a higher revision on a frame makes the receiver fetch it.
+    /// Whether frames carry the sender's revision, so that receivers fetch newer ones.
     pub piggyback_revision: bool,
-    /// How often one random peer is asked for its revision.
+    /// The interval at which one random peer is asked for its revision.
     pub exchange_ms: u64,
-    /// How many processes watch the configuration head; the others hear of it.
+    /// The number of processes that watch the configuration head; the others learn
+    /// of changes from peers.
     pub head_watchers: usize,
 }
 
-/// The bounds on callers and on the stop.
+/// Limits on callers and on shutdown.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// The largest body of a request.
+    /// The maximum size of a request body.
     pub body_bytes: usize,
-    /// The largest head of a request.
+    /// The maximum size of a request head.
     pub header_bytes: usize,
-    /// How long a caller may take to send its head.
+    /// The timeout for receiving a request head.
     pub header_ms: u64,
-    /// How long a caller may take to send its body.
+    /// The timeout for receiving a request body.
     pub body_ms: u64,
-    /// How long a caller may leave its stream unread.
+    /// The time after which a stream that the caller does not read is aborted.
     pub unread_ms: u64,
-    /// How long a planned stop waits for requests in progress.
+    /// The time that a graceful shutdown waits for requests in progress.
     pub stop_ms: u64,
-    /// How long the answers to a probe are waited for.
+    /// The timeout for answers to a probe.
     pub probe_ms: u64,
-    /// How many connections callers may open.
+    /// The maximum number of callers' connections.
     pub connections: usize,
 }
 
-/// What is logged.
+/// Logging.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// The least level: `error`, `warn`, `info`, `debug` or `trace`.
+    /// The minimum level: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: Name,
 }
 
-/// Somebody who may use the administration API.
+/// An owner that may use the administration API.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Administrator {
-    /// Whose pieces the token may change; `*` for all.
+    /// The owner whose pieces the token may change; `*` for all owners.
     pub owner: Name,
     /// The BLAKE3 hash of the token, in hexadecimal.
     pub token_hash: String,
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| {
@@ -157,10 +158,10 @@
         Self::parse(&file, &text)
     }
 
-    /// Parses and checks the text of a settings file.
+    /// Parses and validates the text of a settings file.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let settings: Self = toml::from_str(text).map_err(|error| {
-            let (line, problem, remedy) = explain_toml(text, &error);
+            let (line, problem, remedy) = describe_toml_error(text, &error);
             SettingsError::Malformed { file: file.to_string(), line, problem, remedy }
         })?;
         settings.check().map_err(|(key, problem, remedy)| SettingsError::Key {
@@ -172,9 +173,10 @@
         Ok(settings)
     }
 
-    /// Returns the place.
+    /// Returns the data centre.
     pub fn parsed_place(&self) -> Place {
-        Place::parse(&self.place).expect("the place was checked on reading")
+        Place::parse(&self.place)
+            .expect("the place is validated when the settings are parsed")
     }
 
     fn check(&self) -> Result<(), (&'static str, String, &'static str)> {
@@ -235,7 +237,7 @@
             ("upstream.address", self.upstream.as_ref().map(|u| u.address)),
         ];
         for (key, address) in own {
-            // Port zero lets the system choose, so two of them don't clash.
+            // With port zero the system chooses a free port, so duplicates don't conflict.
             let Some(address) = address.filter(|address| address.port() != 0) else {
                 continue;
             };
