--- a/crates/bilberry-node/src/body.rs
+++ b/crates/bilberry-node/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers: whole, or streamed through a channel.
+//! Response bodies, either complete or streamed through a channel.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -11,34 +11,34 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// One step of a streamed body.
+/// A message of a streamed body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Piece {
     /// The next bytes.
     Data(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
 }
 
-/// Says that a streamed body was given up before its end.
+/// The error of a streamed body that was dropped before its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the body was given up before its end; the connection is cut")]
+#[error("the response body was aborted before its end; the connection is closed")]
 pub struct CutShort;
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum OutBody {
-    /// The whole body; taken once.
+    /// A complete body; `None` once it has been sent.
     Whole(Option<Bytes>),
-    /// Pieces as they come, up to [`Piece::End`].
+    /// A stream of chunks that ends with [`Piece::End`].
     ///
-    /// A sender that is dropped before the end cuts the connection. Were that
-    /// taken for the end, a stream given up half-way would look whole.
+    /// If the sender is dropped before the end, the connection is closed. If that
+    /// were treated as the end, a truncated stream would look complete.
     Stream(mpsc::Receiver<Piece>),
 }
 
 impl OutBody {
-    /// Creates a whole body.
+    /// Creates a complete body.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Some(bytes.into()))
     }
--- a/crates/bilberry-node/src/client_times.rs
+++ b/crates/bilberry-node/src/client_times.rs
@@ -1,9 +1,10 @@
-//! Bounds on the time that a client takes between answers.
+//! Header and idle timeouts of client connections.
 //!
-//! A client that sends its head byte by byte would hold its place for ever, and
-//! one that rests between two requests may rest for longer than it may take to
-//! send a head. The HTTP library knows one time for both, fixed when a connection
-//! opens; operators give two, which change while connections are open.
+//! Without a timeout, a client that sends its head byte by byte would occupy a
+//! connection indefinitely; an idle client may take longer between requests than
+//! to send a head. The HTTP library has a single timeout for both, which is fixed
+//! when a connection opens; operators configure two, which can change while
+//! connections are open.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -27,27 +28,27 @@
 use crate::CutShort;
 use crate::OutBody;
 
-/// How long a client may take.
+/// The timeouts of a client connection.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub struct ClientTimes {
-    /// From the first byte of a head to its last.
+    /// The time from the first byte of a request head to its last.
     pub header_ms: u64,
-    /// Between an answer and the next head.
+    /// The time between a response and the next request head.
     pub idle_ms: u64,
 }
 
-/// What a client is to do next, and until when.
+/// The state of a client connection, with the deadline for the client.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 enum Phase {
-    /// It may rest.
-    Idle { until: Instant },
-    /// It has begun to send a head.
-    Head { until: Instant },
-    /// It waits for its answer.
-    Answering,
+    /// The connection is idle.
+    Idle { deadline: Instant },
+    /// The client has begun to send a request head.
+    Head { deadline: Instant },
+    /// The client waits for its response.
+    Responding,
 }
 
-/// The phase of one connection.
+/// The phase of one connection, shared by its I/O and its responses.
 #[derive(Debug)]
 pub(crate) struct ClientPhase {
     phase: Mutex<Phase>,
@@ -59,15 +60,16 @@
         Arc::new(Self { phase: Mutex::new(idle(times)), reader: Mutex::default() })
     }
 
-    /// Notes that a request was read, so that the answer is ours to give.
-    pub(crate) fn begin_answer(&self) {
-        *self.phase.lock().unwrap() = Phase::Answering;
+    /// Records that a request head was read, which stops the timer.
+    pub(crate) fn begin_response(&self) {
+        *self.phase.lock().unwrap() = Phase::Responding;
     }
 
-    fn end_answer(&self, times: ClientTimes) {
+    fn end_response(&self, times: ClientTimes) {
         *self.phase.lock().unwrap() = idle(times);
-        // The connection was last read while no time ran; without another look the
-        // timer would not be started, and a resting client kept for ever.
+        // The connection was last polled while no deadline was set. Unless it is
+        // polled again, the timer does not start and an idle client is never
+        // disconnected.
         if let Some(reader) = self.reader.lock().unwrap().take() {
             reader.wake();
         }
@@ -76,54 +78,54 @@
     fn note_bytes(&self, times: ClientTimes) {
         let mut phase = self.phase.lock().unwrap();
         if matches!(*phase, Phase::Idle { .. }) {
-            *phase = Phase::Head { until: after(times.header_ms) };
+            *phase = Phase::Head { deadline: deadline_after(times.header_ms) };
         }
     }
 
-    fn until(&self) -> Option<Instant> {
+    fn deadline(&self) -> Option<Instant> {
         match *self.phase.lock().unwrap() {
-            Phase::Idle { until } | Phase::Head { until } => Some(until),
-            Phase::Answering => None,
+            Phase::Idle { deadline } | Phase::Head { deadline } => Some(deadline),
+            Phase::Responding => None,
         }
     }
 }
 
 fn idle(times: ClientTimes) -> Phase {
-    Phase::Idle { until: after(times.idle_ms) }
+    Phase::Idle { deadline: deadline_after(times.idle_ms) }
 }
 
-fn after(wait_ms: u64) -> Instant {
+fn deadline_after(wait_ms: u64) -> Instant {
     Instant::now() + Duration::from_millis(wait_ms)
 }
 
-/// A client's connection, which ends when the client takes too long.
+/// A client connection that is closed when the client exceeds a timeout.
 #[derive(Debug)]
-pub(crate) struct BoundedIo<S, T> {
+pub(crate) struct TimeoutIo<S, T> {
     stream: S,
     times: T,
     phase: Arc<ClientPhase>,
     timer: Pin<Box<Sleep>>,
 }
 
-impl<S, T: Fn() -> ClientTimes> BoundedIo<S, T> {
-    /// Bounds a connection; `times` is asked anew for each request.
+impl<S, T: Fn() -> ClientTimes> TimeoutIo<S, T> {
+    /// Wraps a connection; `times` is called for each request.
     pub(crate) fn new(stream: S, times: T, phase: Arc<ClientPhase>) -> Self {
         let timer = Box::pin(sleep_until(Instant::now()));
         Self { stream, times, phase, timer }
     }
 
-    /// Polls the timer of the present phase; ready if the client is too late.
-    fn poll_late(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+    /// Polls the timer of the current phase; ready if the deadline has passed.
+    fn poll_deadline(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         *self.phase.reader.lock().unwrap() = Some(cx.waker().clone());
-        let Some(until) = self.phase.until() else { return Poll::Pending };
-        if self.timer.deadline() != until {
-            self.timer.as_mut().reset(until);
+        let Some(deadline) = self.phase.deadline() else { return Poll::Pending };
+        if self.timer.deadline() != deadline {
+            self.timer.as_mut().reset(deadline);
         }
         self.timer.as_mut().poll(cx)
     }
 }
 
-impl<S, T> AsyncRead for BoundedIo<S, T>
+impl<S, T> AsyncRead for TimeoutIo<S, T>
 where
     S: AsyncRead + Unpin,
     T: Fn() -> ClientTimes + Unpin,
@@ -133,22 +135,22 @@
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<std::io::Result<()>> {
-        let bounded = self.get_mut();
+        let io = self.get_mut();
         let before = buffer.filled().len();
-        match Pin::new(&mut bounded.stream).poll_read(cx, buffer) {
+        match Pin::new(&mut io.stream).poll_read(cx, buffer) {
             Poll::Ready(read) => {
                 if buffer.filled().len() > before {
-                    bounded.phase.note_bytes((bounded.times)());
+                    io.phase.note_bytes((io.times)());
                 }
                 Poll::Ready(read)
             }
-            // An end of the stream, which closes the connection.
-            Poll::Pending => bounded.poll_late(cx).map(Ok),
+            // On a timeout, report the end of the stream, which closes the connection.
+            Poll::Pending => io.poll_deadline(cx).map(Ok),
         }
     }
 }
 
-impl<S, T> AsyncWrite for BoundedIo<S, T>
+impl<S, T> AsyncWrite for TimeoutIo<S, T>
 where
     S: AsyncWrite + Unpin,
     T: Unpin,
@@ -188,15 +190,15 @@
     }
 }
 
-/// An answer's body, after whose end the client may rest again.
+/// A response body that returns the connection to the idle phase when dropped.
 #[derive(Debug)]
-pub(crate) struct AnswerBody {
+pub(crate) struct ResponseBody {
     body: OutBody,
     times: ClientTimes,
     phase: Arc<ClientPhase>,
 }
 
-impl AnswerBody {
+impl ResponseBody {
     pub(crate) fn new(
         body: OutBody,
         times: ClientTimes,
@@ -206,13 +208,13 @@
     }
 }
 
-impl Drop for AnswerBody {
+impl Drop for ResponseBody {
     fn drop(&mut self) {
-        self.phase.end_answer(self.times);
+        self.phase.end_response(self.times);
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = CutShort;
 
--- a/crates/bilberry-node/src/common.rs
+++ b/crates/bilberry-node/src/common.rs
@@ -1,4 +1,4 @@
-//! Calls that every process answers alike.
+//! Handlers for the peer calls that do not depend on the process's role.
 
 use bilberry_wire::Body;
 use bilberry_wire::EventsAnswer;
@@ -9,7 +9,7 @@
 use crate::Node;
 
 impl Node {
-    /// Answers a call that does not depend on the role; `None` for all others.
+    /// Answers a call that does not depend on the role; returns `None` for other calls.
     pub fn answer_common(&self, body: Body) -> Option<Body> {
         match body {
             Body::Ping(_) => Some(Body::Pong(true)),
--- a/crates/bilberry-node/src/config.rs
+++ b/crates/bilberry-node/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force in one process.
+//! The active configuration of a process.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,99 +17,99 @@
 use thiserror::Error;
 use tokio::sync::watch;
 
-/// How many bytes of pieces one answer carries, well below a frame's bound.
+/// The maximum total size of the pieces in one answer; well below the frame limit.
 const PIECES_FRAME_BYTES: usize = 2 * 1024 * 1024;
 
-/// One revision with everything a restarted peer needs to install it.
+/// A revision with everything that a restarted peer needs to install it.
 #[derive(Debug, Default)]
 pub struct InForce {
     /// The head.
     pub head: Head,
-    /// The head as it was stored.
+    /// The head in its stored form.
     pub head_text: String,
-    /// Its pieces by hash.
+    /// The pieces by hash.
     pub pieces: HashMap<String, Held>,
-    /// The pieces, merged and checked.
+    /// The merged and validated pieces.
     pub compiled: Arc<Compiled>,
 }
 
-/// One piece: its text for peers, and what it says.
+/// A piece: its text, which is sent to peers, and its parsed content.
 #[derive(Debug, Clone)]
 pub struct Held {
-    /// The text.
+    /// The text of the piece.
     pub text: Arc<str>,
-    /// What it says; without its customers in a sidecar.
+    /// The parsed content; in a sidecar without customers.
     pub parsed: Arc<ParsedPiece>,
 }
 
-/// Why a revision can't be installed.
+/// An error on install_lock a revision.
 #[derive(Debug, Error)]
 pub enum InstallError {
-    /// The head is no JSON of ours.
+    /// The head can't be parsed.
     #[error("the head can't be read: {0}; apply the configuration anew")]
     Head(#[from] serde_json::Error),
     /// A piece is missing.
     #[error("piece {0} is missing; it is fetched again")]
     Missing(String),
-    /// The pieces don't go together.
+    /// The pieces are inconsistent.
     #[error(transparent)]
     Config(#[from] ConfigError),
 }
 
-/// The configuration in force, and news of a change.
+/// Holds the active configuration and notifies subscribers of changes.
 #[derive(Debug)]
 pub struct ConfigStore {
     current: ArcSwap<InForce>,
     revision: watch::Sender<u64>,
-    installing: Mutex<()>,
+    install_lock: Mutex<()>,
     knows_customers: bool,
 }
 
 impl ConfigStore {
     /// Creates a store at revision zero.
     ///
-    /// A sidecar hears of customers by their requests and keeps only the texts
-    /// of their pieces, for peers that restart.
+    /// A sidecar learns of customers from requests and keeps only the texts of
+    /// their pieces, for peers that restart.
     pub fn new(knows_customers: bool) -> Self {
         Self {
             knows_customers,
             current: ArcSwap::default(),
             revision: watch::Sender::new(0),
-            installing: Mutex::new(()),
+            install_lock: Mutex::new(()),
         }
     }
 
-    /// Returns the configuration in force.
+    /// Returns the active configuration.
     pub fn in_force(&self) -> Arc<InForce> {
         self.current.load_full()
     }
 
-    /// Returns the compiled configuration in force.
+    /// Returns the active configuration in compiled form.
     pub fn compiled(&self) -> Arc<Compiled> {
         self.current.load().compiled.clone()
     }
 
-    /// Returns the revision in force.
+    /// Returns the active revision.
     pub fn revision(&self) -> u64 {
         self.current.load().head.revision
     }
 
-    /// Returns a receiver that is woken by each new revision.
+    /// Returns a receiver that is notified of each new revision.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.revision.subscribe()
     }
 
-    /// Installs a head whose pieces are given or held already.
+    /// Installs a head whose pieces are passed in or already present.
     ///
-    /// Returns false for a revision that is not above the one in force. Late
-    /// answers of slow peers and of the platform come in any order; without this
-    /// an accepted configuration would revert for a while.
+    /// Returns false for a revision that is not greater than the active one.
+    /// Delayed answers from peers and the platform arrive in any order; without
+    /// this check an accepted configuration could be reverted temporarily.
     pub fn install(
         &self,
         head_text: &str,
         given: Vec<Piece>,
     ) -> Result<bool, InstallError> {
-        let _one_at_a_time = self.installing.lock().unwrap();
+        let _guard = self.install_lock.lock().unwrap();
         let head: Head = serde_json::from_str(head_text)?;
         let current = self.current.load_full();
         if head.revision <= current.head.revision {
@@ -150,17 +150,17 @@
 }
 
 impl InForce {
-    /// Returns the asked pieces for a peer, as many as one frame holds.
+    /// Returns the requested pieces, as many as fit into one frame.
     pub fn wire_pieces(&self, hashes: &[String]) -> Vec<Piece> {
-        let mut room_bytes = PIECES_FRAME_BYTES;
+        let mut remaining_bytes = PIECES_FRAME_BYTES;
         let mut pieces = Vec::new();
         for hash in hashes {
             let Some(Held { text, .. }) = self.pieces.get(hash) else { continue };
-            // The first piece always goes, so that each answer is a step forward.
-            if !pieces.is_empty() && text.len() > room_bytes {
+            // Always include the first piece, so that each answer makes progress.
+            if !pieces.is_empty() && text.len() > remaining_bytes {
                 break;
             }
-            room_bytes = room_bytes.saturating_sub(text.len());
+            remaining_bytes = remaining_bytes.saturating_sub(text.len());
             pieces.push(Piece { hash: hash.clone(), text: text.to_string() });
         }
         pieces
--- a/crates/bilberry-node/src/era_changes.rs
+++ b/crates/bilberry-node/src/era_changes.rs
@@ -1,9 +1,9 @@
-//! The count of returns of the platform's store from an older copy.
+//! The counter of restores of the platform's store from an older copy.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::registry::Registry;
 
-/// Counts changes of the store's era that a process has noticed.
+/// Counts the changes of the store's era that a process has detected.
 #[derive(Debug, Clone, Default)]
 pub struct EraChanges {
     count: Counter,
@@ -21,7 +21,7 @@
         self.count.inc();
     }
 
-    /// Returns how many were counted.
+    /// Returns the number of counted changes.
     pub fn total(&self) -> u64 {
         self.count.get()
     }
--- a/crates/bilberry-node/src/events.rs
+++ b/crates/bilberry-node/src/events.rs
@@ -1,4 +1,4 @@
-//! The ring of recent events of one process.
+//! The ring buffer of a process's recent events.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -9,10 +9,10 @@
 use bilberry_core::SystemClock;
 use bilberry_wire::Event;
 
-/// How many events are kept.
-const RING_LENGTH: usize = 4_096;
+/// The capacity of the ring buffer.
+const RING_CAPACITY: usize = 4_096;
 
-/// Recent events, each with a stamp that orders it over all processes.
+/// Recent events with hybrid logical timestamps, which order them across processes.
 #[derive(Debug)]
 pub struct EventLog {
     process: Name,
@@ -21,7 +21,7 @@
 }
 
 impl EventLog {
-    /// Creates an empty ring.
+    /// Creates an empty ring buffer.
     pub fn new(process: Name) -> Self {
         Self {
             process,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Records that something happened.
+    /// Records an event.
     pub fn record(&self, request: &str, what: &str, detail: impl Into<String>) {
         let event = Event {
             hlc: self.clock.tick().0,
@@ -40,28 +40,28 @@
             detail: detail.into(),
         };
         let mut ring = self.ring.lock().unwrap();
-        if ring.len() == RING_LENGTH {
+        if ring.len() == RING_CAPACITY {
             ring.pop_front();
         }
         ring.push_back(event);
     }
 
-    /// Returns the latest `most` events, of one request if it is not empty.
+    /// Returns the latest `most` events; only those of `request` unless it is empty.
     pub fn recent(&self, request: &str, most: usize) -> Vec<Event> {
         let ring = self.ring.lock().unwrap();
-        let fits = |event: &&Event| request.is_empty() || event.request == request;
+        let matches = |event: &&Event| request.is_empty() || event.request == request;
         let mut events: Vec<_> =
-            ring.iter().rev().filter(fits).take(most).cloned().collect();
+            ring.iter().rev().filter(matches).take(most).cloned().collect();
         events.reverse();
         events
     }
 
-    /// Returns the stamp for an outgoing frame.
+    /// Returns the timestamp for an outgoing frame.
     pub fn stamp(&self) -> u64 {
         self.clock.tick().0
     }
 
-    /// Takes note of the stamp of an incoming frame.
+    /// Advances the clock to the timestamp of an incoming frame.
     pub fn observe(&self, stamp: u64) {
         self.clock.observe(Hlc(stamp));
     }
--- a/crates/bilberry-node/src/exchange.rs
+++ b/crates/bilberry-node/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Asking peers for the configuration and the members.
+//! Fetches the configuration and the members from peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,22 +19,22 @@
 use crate::sync_actor::HeadSeen;
 use crate::sync_actor::SyncActor;
 
-/// How long one question to a peer may take.
-const ASK_WAIT: Duration = Duration::from_millis(1_000);
+/// The timeout of one request to a peer.
+const ASK_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How many peers that are ahead are asked at once.
+/// The maximum number of peers with a higher revision that are asked concurrently.
 ///
-/// One alone would hold up a change for the whole wait if it hangs; all of them
-/// would send the same pieces many times.
-const AHEAD_AT_ONCE: usize = 3;
+/// If only one were asked and it hung, a change would be delayed by the whole
+/// timeout; if all were asked, they would send the same pieces many times.
+const MAX_CONCURRENT_FETCHES: usize = 3;
 
-/// How often peers are asked at the start, until members are known.
-const FIRST_EXCHANGE_MS: u64 = 20;
+/// The exchange interval at startup, until members are known.
+const STARTUP_EXCHANGE_MS: u64 = 20;
 
-/// How many quick exchanges are made at the start.
-const FIRST_EXCHANGES: u32 = 25;
+/// The number of exchanges at the startup interval.
+const STARTUP_EXCHANGES: u32 = 25;
 
-/// Asks peers and hands their answers to the actor that installs them.
+/// Requests updates from peers and passes them to the actor that installs them.
 #[derive(Debug)]
 pub(crate) struct Exchanger<P> {
     pub(crate) node: Arc<Node>,
@@ -55,43 +55,44 @@
 }
 
 impl<P: Platform> Exchanger<P> {
-    /// Asks each peer whose frames showed a higher revision.
-    pub(crate) async fn follow_peers_ahead(self) {
-        let mut notes = self.node.take_ahead_notes();
-        let places = Arc::new(Semaphore::new(AHEAD_AT_ONCE));
-        while let Some(note) = notes.recv().await {
-            let place = places.clone().acquire_owned().await;
-            // By now an earlier note may have brought the revision.
-            if note.revision <= self.node.config.revision() {
+    /// Fetches updates from peers whose frames carry a higher revision.
+    pub(crate) async fn follow_newer_peers(self) {
+        let mut notifications = self.node.take_newer_peers();
+        let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_FETCHES));
+        while let Some(notification) = notifications.recv().await {
+            let permit = permits.clone().acquire_owned().await;
+            // The revision may have been installed after an earlier notification.
+            if notification.revision <= self.node.config.revision() {
                 continue;
             }
-            let Ok(peer) = note.address.parse() else { continue };
+            let Ok(peer) = notification.address.parse() else { continue };
             let exchanger = self.clone();
             tokio::spawn(async move {
                 exchanger.exchange_with(peer).await;
-                drop(place);
+                drop(permit);
             });
         }
     }
 
-    /// Asks one random peer at a time, quickly at the start.
-    pub(crate) async fn exchange_regularly(self, exchange_ms: u64) {
+    /// Exchanges state with one random peer at a time, at short intervals at startup.
+    pub(crate) async fn exchange_periodically(self, exchange_ms: u64) {
         for round in 0_u32.. {
             if let Some(peer) = self.random_peer() {
                 self.exchange_with(peer).await;
             }
-            let pause_ms = match round {
-                0..FIRST_EXCHANGES => FIRST_EXCHANGE_MS,
-                // Jitter keeps a herd of restarted processes from asking in step.
+            let delay_ms = match round {
+                0..STARTUP_EXCHANGES => STARTUP_EXCHANGE_MS,
+                // Jitter prevents synchronized requests from processes that were
+                // restarted together.
                 _ => exchange_ms / 2 + rand::random_range(0..=exchange_ms),
             };
-            tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
         }
     }
 
-    /// Chooses a peer among the members; without a configuration also a seed.
+    /// Chooses a random member; without members or a configuration also a seed.
     ///
-    /// A restart while the platform is down has nobody else to ask.
+    /// A process that restarts while the platform is down knows only the seeds.
     fn random_peer(&self) -> Option<SocketAddr> {
         let mut peers = self.node.members.current().others(&self.node.process());
         if peers.is_empty() || self.node.config.revision() == 0 {
@@ -100,13 +101,13 @@
         peers.choose(&mut rand::rng()).copied()
     }
 
-    /// Asks a peer for what it knows and hands it to the actor.
+    /// Requests a peer's state and passes it to the actor.
     async fn exchange_with(&self, peer: SocketAddr) {
         let ask = StateAsk {
             have_revision: self.node.config.revision(),
             members_digest: self.node.members.current().digest,
         };
-        let asked = self.links.ask(peer, Body::StateAsk(ask), ASK_WAIT).await;
+        let asked = self.links.ask(peer, Body::StateAsk(ask), ASK_TIMEOUT).await;
         let Ok(Body::StateAnswer(answer)) = asked else { return };
         self.node.merge_members(answer.members);
         if answer.head.is_empty() {
@@ -116,20 +117,20 @@
         let _ = self.sync.send(HeadSeen { head: answer.head, pieces }).await;
     }
 
-    /// Fetches the pieces of a head that are not held, from the same peer.
+    /// Fetches the pieces of a head that are not installed, from the same peer.
     async fn fetch_pieces(&self, peer: SocketAddr, head_text: &str) -> Vec<Piece> {
         let Ok(head) = serde_json::from_str::<Head>(head_text) else { return Vec::new() };
-        let held = self.node.config.in_force();
+        let active = self.node.config.in_force();
         let mut missing: Vec<_> = head
             .pieces
             .into_iter()
             .map(|piece| piece.hash)
-            .filter(|hash| !held.pieces.contains_key(hash))
+            .filter(|hash| !active.pieces.contains_key(hash))
             .collect();
         let mut pieces = Vec::new();
         while !missing.is_empty() {
             let ask = Body::PiecesAsk(PiecesAsk { hashes: missing.clone() });
-            let asked = self.links.ask(peer, ask, ASK_WAIT).await;
+            let asked = self.links.ask(peer, ask, ASK_TIMEOUT).await;
             let Ok(Body::PiecesAnswer(answer)) = asked else { break };
             if answer.pieces.is_empty() {
                 break;
--- a/crates/bilberry-node/src/http.rs
+++ b/crates/bilberry-node/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP servers that end without cutting a request.
+//! HTTP servers with graceful shutdown.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -28,44 +28,44 @@
 use crate::ClientTimes;
 use crate::OutBody;
 use crate::StartError;
-use crate::client_times::AnswerBody;
-use crate::client_times::BoundedIo;
 use crate::client_times::ClientPhase;
+use crate::client_times::ResponseBody;
+use crate::client_times::TimeoutIo;
 
-/// Serves HTTP requests.
+/// Handles HTTP requests.
 pub trait HttpHandler: Send + Sync + 'static {
-    /// Returns how long clients may take now, where that changes at run time.
+    /// Returns the current client timeouts if they can change at run time.
     fn client_times(&self) -> Option<ClientTimes> {
         None
     }
 
-    /// Answers one request.
+    /// Handles one request.
     fn answer(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> impl Future<Output = Response<OutBody>> + Send;
 }
 
-/// The bounds of one server on its clients.
+/// The limits of a server on its clients.
 #[derive(Debug, Clone, Copy)]
 pub struct HttpLimits {
-    /// The largest head of a request.
+    /// The maximum size of a request head.
     pub header_bytes: usize,
-    /// How long a client may take to send its head, and to begin the next one,
-    /// unless the handler knows better.
+    /// The timeout for receiving a request head and for idle connections, unless
+    /// the handler provides its own.
     pub header_ms: u64,
-    /// How many connections may be open.
+    /// The maximum number of open connections.
     pub connections: usize,
 }
 
-/// A server whose requests in progress are finished at a planned stop.
+/// A server that completes requests in progress on shutdown.
 #[derive(Debug)]
 pub struct GracefulServer {
     stop: tokio::sync::oneshot::Sender<()>,
     serving: tokio::task::JoinHandle<GracefulShutdown>,
 }
 
-/// Listens on an address, or says which key of the settings to change.
+/// Listens on an address; an error names the settings key of the address.
 pub async fn bind(
     key: &'static str,
     address: SocketAddr,
@@ -78,7 +78,7 @@
 }
 
 impl GracefulServer {
-    /// Starts to serve.
+    /// Starts serving.
     pub fn start<H: HttpHandler>(
         listener: TcpListener,
         limits: HttpLimits,
@@ -89,9 +89,9 @@
         Self { stop, serving }
     }
 
-    /// Takes no more connections and waits until `wait` for those in progress.
+    /// Stops accepting connections and waits up to `wait` for open ones to finish.
     ///
-    /// Returns false if some had to be cut.
+    /// Returns false if some did not finish in time.
     pub async fn stop(self, wait: Duration) -> bool {
         let _ = self.stop.send(());
         match self.serving.await {
@@ -108,14 +108,14 @@
     mut stopped: tokio::sync::oneshot::Receiver<()>,
 ) -> GracefulShutdown {
     let graceful = GracefulShutdown::new();
-    let places = Arc::new(Semaphore::new(limits.connections));
+    let permits = Arc::new(Semaphore::new(limits.connections));
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        // The connection itself keeps the time, see `client_times`.
+        // Timeouts are enforced by the connection, see `client_times`.
         .header_read_timeout(None)
         .max_buf_size(limits.header_bytes)
-        // Callers that close only their sending half still read their answer.
+        // Clients that close only their sending half still read the response.
         .half_close(false);
     loop {
         let accepted = tokio::select! {
@@ -126,8 +126,8 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        // Over the bound a connection is closed at once rather than left hanging.
-        let Ok(place) = places.clone().try_acquire_owned() else { continue };
+        // Above the limit, close the connection immediately instead of queueing it.
+        let Ok(permit) = permits.clone().try_acquire_owned() else { continue };
         let _ = socket.set_nodelay(true);
         let handler = handler.clone();
         let times = {
@@ -135,15 +135,15 @@
             move || client_times(handler.as_ref(), limits)
         };
         let phase = ClientPhase::new(times());
-        let io = BoundedIo::new(socket, times, phase.clone());
+        let io = TimeoutIo::new(socket, times, phase.clone());
         let service = service_fn(move |request| {
             let handler = handler.clone();
             let phase = phase.clone();
-            phase.begin_answer();
+            phase.begin_response();
             async move {
                 let answer = handler.clone().answer(request).await;
                 let times = client_times(handler.as_ref(), limits);
-                let answer = answer.map(|body| AnswerBody::new(body, times, phase));
+                let answer = answer.map(|body| ResponseBody::new(body, times, phase));
                 Ok::<_, Infallible>(answer)
             }
         });
@@ -151,7 +151,7 @@
         let connection = graceful.watch(connection);
         tokio::spawn(async move {
             let _ = connection.await;
-            drop(place);
+            drop(permit);
         });
     }
 }
@@ -161,13 +161,13 @@
     handler.client_times().unwrap_or(fixed)
 }
 
-/// Why a body could not be read.
+/// An error on reading a request body.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ReadBodyError {
-    /// The body is over the bound.
+    /// The body exceeds the size limit.
     #[error("the body is over {0} bytes; shorten it")]
     TooLarge(usize),
-    /// The body did not come in time.
+    /// The body was not received in time.
     #[error("the body did not come within {0} ms; send it faster")]
     Late(u64),
     /// The connection broke.
@@ -175,26 +175,26 @@
     Broken,
 }
 
-/// Reads a whole body within a size and a time.
+/// Reads a complete body, subject to a size limit and a timeout.
 pub async fn read_body(
     body: Incoming,
-    most_bytes: usize,
+    max_bytes: usize,
     wait_ms: u64,
 ) -> Result<Bytes, ReadBodyError> {
-    let collecting = Limited::new(body, most_bytes).collect();
+    let collecting = Limited::new(body, max_bytes).collect();
     match timeout(Duration::from_millis(wait_ms), collecting).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            Err(ReadBodyError::TooLarge(most_bytes))
+            Err(ReadBodyError::TooLarge(max_bytes))
         }
         Ok(Err(_)) => Err(ReadBodyError::Broken),
         Err(_) => Err(ReadBodyError::Late(wait_ms)),
     }
 }
 
-/// Returns an answer with a JSON body.
+/// Returns a response with a JSON body.
 pub fn json_answer<T: Serialize>(status: StatusCode, value: &T) -> Response<OutBody> {
-    let text = serde_json::to_vec(value).expect("our own types serialise");
+    let text = serde_json::to_vec(value).expect("response types are serializable");
     Response::builder()
         .status(status)
         .header(CONTENT_TYPE, "application/json")
--- a/crates/bilberry-node/src/lib.rs
+++ b/crates/bilberry-node/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every process of the system shares: identity, clock, events,
-//! configuration in force, members, links to peers and the operations address.
+//! Components shared by all processes of the system: identity, clock, events,
+//! active configuration, membership, peer connections and the operations server.
 
 mod body;
 mod client_times;
--- a/crates/bilberry-node/src/link.rs
+++ b/crates/bilberry-node/src/link.rs
@@ -1,4 +1,4 @@
-//! One connection to a peer, carrying many calls.
+//! A connection to a peer that multiplexes calls.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,19 +25,19 @@
 
 use crate::Node;
 
-/// How long a connection may take to open.
-const CONNECT_WAIT: Duration = Duration::from_millis(500);
+/// The connect timeout.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// After how much silence a link with calls in progress is pinged.
-const PING_AFTER: Duration = Duration::from_millis(500);
+/// The time without a frame after which a link with calls in progress is pinged.
+const PING_INTERVAL: Duration = Duration::from_millis(500);
 
-/// After how much silence a link with calls in progress is given up.
-const DEAD_AFTER: Duration = Duration::from_millis(2_000);
+/// The time without a frame after which a link with calls in progress is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// How many frames may wait to be sent.
-const SEND_QUEUE: usize = 256;
+/// The capacity of the send queue, in frames.
+const SEND_QUEUE_FRAMES: usize = 256;
 
-/// Why a call to a peer failed.
+/// An error of a call to a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum LinkError {
     /// The peer can't be reached; nothing was sent.
@@ -45,7 +45,7 @@
         "peer {0} can't be reached; check that it runs and that its address is right"
     )]
     Unreachable(SocketAddr),
-    /// The connection broke after the call was sent.
+    /// The connection was lost after the call was sent.
     #[error(
         "the connection to peer {0} broke in mid-call; the call may have been served"
     )]
@@ -55,7 +55,7 @@
     Late(SocketAddr),
 }
 
-/// One connection to a peer.
+/// A connection to a peer that multiplexes calls.
 #[derive(Debug)]
 pub(crate) struct Link {
     peer: SocketAddr,
@@ -63,10 +63,10 @@
     frames: mpsc::Sender<Frame>,
     calls: Mutex<HashMap<u64, mpsc::UnboundedSender<Body>>>,
     next_call: AtomicU64,
-    dead: AtomicBool,
+    closed: AtomicBool,
 }
 
-/// One call in progress; dropping it before its end cancels it at the peer.
+/// A call in progress; dropping it before its end cancels it at the peer.
 #[derive(Debug)]
 pub struct Call {
     link: Arc<Link>,
@@ -81,42 +81,42 @@
         node: Arc<Node>,
         peer: SocketAddr,
     ) -> Result<Arc<Self>, LinkError> {
-        let opened = timeout(CONNECT_WAIT, TcpStream::connect(peer)).await;
+        let opened = timeout(CONNECT_TIMEOUT, TcpStream::connect(peer)).await;
         let socket = match opened {
             Ok(Ok(socket)) => socket,
             _ => return Err(LinkError::Unreachable(peer)),
         };
-        // Tokens are small and must not wait for each other.
+        // Streamed tokens are small and must not be delayed by Nagle's algorithm.
         let _ = socket.set_nodelay(true);
-        let (frames, queue) = mpsc::channel(SEND_QUEUE);
+        let (frames, queue) = mpsc::channel(SEND_QUEUE_FRAMES);
         let link = Arc::new(Self {
             peer,
             node,
             frames,
             calls: Mutex::default(),
             next_call: AtomicU64::new(1),
-            dead: AtomicBool::new(false),
+            closed: AtomicBool::new(false),
         });
         link.clone().start(socket, queue);
         Ok(link)
     }
 
-    /// Reports whether the connection is broken.
-    pub(crate) fn is_dead(&self) -> bool {
-        self.dead.load(Ordering::Acquire)
+    /// Returns whether the connection is closed.
+    pub(crate) fn is_closed(&self) -> bool {
+        self.closed.load(Ordering::Acquire)
     }
 
     /// Starts a call.
     pub(crate) async fn call(self: &Arc<Self>, body: Body) -> Result<Call, LinkError> {
         let number = self.next_call.fetch_add(1, Ordering::Relaxed);
-        // The queue of one call is unbounded so that a caller that reads slowly
-        // holds up nobody else on the link. An answer's length is bounded.
+        // The queue of a call is unbounded, so that a slow reader does not block other
+        // calls on the link. The length of an answer is bounded.
         let (answer, answers) = mpsc::unbounded_channel();
         self.calls.lock().unwrap().insert(number, answer);
         let mut call = Call { link: self.clone(), number, answers, ended: false };
         let frame = self.node.frame(number, body);
         let sent = self.frames.send(frame).await;
-        if self.is_dead() || sent.is_err() {
+        if self.is_closed() || sent.is_err() {
             call.ended = true;
             self.calls.lock().unwrap().remove(&number);
             return Err(match sent {
@@ -134,7 +134,7 @@
         let member = self.node.member();
         let hello = Hello { process: member.process, address: member.address };
         let hello = self.node.frame(0, Body::Hello(hello));
-        // The queue is new and has room for its first frame.
+        // The queue is empty at this point, so sending can't fail.
         let _ = self.frames.try_send(hello);
         let sending = tokio::spawn(send_frames(writer, queue));
         tokio::spawn(async move {
@@ -144,28 +144,28 @@
         });
     }
 
-    /// Reads frames until the connection breaks or stays silent too long.
+    /// Reads frames until the connection is closed or no frame arrives in time.
     async fn receive<R>(&self, mut frames: FramedRead<R, FrameCodec>)
     where
         R: tokio::io::AsyncRead + Unpin,
     {
         let from = self.peer.to_string();
-        let mut heard_at = Instant::now();
+        let mut last_frame_at = Instant::now();
         loop {
-            match timeout(PING_AFTER, frames.next()).await {
+            match timeout(PING_INTERVAL, frames.next()).await {
                 Ok(Some(Ok(frame))) => {
-                    heard_at = Instant::now();
+                    last_frame_at = Instant::now();
                     self.node.observe(&frame, &from);
                     self.deliver(frame);
                 }
                 Ok(_) => return,
-                // Silence without calls in progress is no sign of anything.
+                // Without calls in progress, the peer is not expected to send anything.
                 Err(_) if self.calls.lock().unwrap().is_empty() => {
-                    heard_at = Instant::now();
+                    last_frame_at = Instant::now();
                 }
-                // A cut that drops packets sends no reset. Callers would wait on
-                // it until TCP gives up after many minutes.
-                Err(_) if heard_at.elapsed() >= DEAD_AFTER => return,
+                // A network partition that drops packets causes no reset. Callers
+                // would wait many minutes until TCP times out.
+                Err(_) if last_frame_at.elapsed() >= IDLE_TIMEOUT => return,
                 Err(_) => {
                     let _ = self.frames.try_send(self.node.frame(0, Body::Ping(true)));
                 }
@@ -180,9 +180,9 @@
         }
     }
 
-    /// Ends all calls; each sees its channel close.
+    /// Marks the link as closed and ends all calls by closing their channels.
     fn fail(&self) {
-        self.dead.store(true, Ordering::Release);
+        self.closed.store(true, Ordering::Release);
         self.calls.lock().unwrap().clear();
     }
 }
@@ -206,19 +206,19 @@
 impl Drop for Call {
     fn drop(&mut self) {
         self.link.calls.lock().unwrap().remove(&self.number);
-        if !self.ended && !self.link.is_dead() {
+        if !self.ended && !self.link.is_closed() {
             let cancel = self.link.node.frame(self.number, Body::Cancel(true));
             let _ = self.link.frames.try_send(cancel);
         }
     }
 }
 
-/// Reports whether a message ends its call.
+/// Returns whether a message is the last one of its call.
 fn is_last(body: &Body) -> bool {
     !matches!(body, Body::Started(_) | Body::Chunk(_))
 }
 
-/// Sends frames until the connection breaks or all senders are gone.
+/// Sends frames until the connection is closed or all senders are dropped.
 pub(crate) async fn send_frames<W>(
     mut writer: FramedWrite<W, FrameCodec>,
     mut queue: mpsc::Receiver<Frame>,
@@ -229,7 +229,7 @@
         if writer.feed(frame).await.is_err() {
             return;
         }
-        // Frames that wait already go out in the same write.
+        // Batch the frames that are already queued into the same write.
         while let Ok(frame) = queue.try_recv() {
             if writer.feed(frame).await.is_err() {
                 return;
--- a/crates/bilberry-node/src/links.rs
+++ b/crates/bilberry-node/src/links.rs
@@ -1,4 +1,4 @@
-//! The connections of this process to its peers, opened on demand.
+//! The pool of connections to peers, which are opened on demand.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,10 +17,10 @@
 use crate::Node;
 use crate::link::Link;
 
-/// How long a peer that could not be reached is left alone.
-const RETRY_CONNECT_MS: u64 = 200;
+/// The delay before connecting again to a peer that could not be reached.
+const RECONNECT_DELAY_MS: u64 = 200;
 
-/// The connections of this process to its peers.
+/// The pool of connections to peers.
 #[derive(Debug, Clone)]
 pub struct Links {
     shared: Arc<Shared>,
@@ -32,7 +32,7 @@
     slots: Mutex<HashMap<SocketAddr, Arc<tokio::sync::Mutex<Slot>>>>,
 }
 
-/// The connection to one peer.
+/// The connection to one peer, if open.
 #[derive(Debug, Default)]
 struct Slot {
     link: Option<Arc<Link>>,
@@ -40,17 +40,17 @@
 }
 
 impl Links {
-    /// Creates an empty set.
+    /// Creates an empty pool.
     pub fn new(node: Arc<Node>) -> Self {
         Self { shared: Arc::new(Shared { node, slots: Mutex::default() }) }
     }
 
-    /// Starts a call that may be answered by several messages.
+    /// Starts a call with a stream of answers.
     pub async fn call(&self, peer: SocketAddr, body: Body) -> Result<Call, LinkError> {
         self.link(peer).await?.call(body).await
     }
 
-    /// Makes a call that is answered by one message.
+    /// Makes a call with a single answer.
     pub async fn ask(
         &self,
         peer: SocketAddr,
@@ -69,21 +69,21 @@
         if let Some(link) = slot.lock().await.live() {
             return Ok(link);
         }
-        // Opening runs as a task of its own: a caller that gives up early, such
-        // as a probe, must not throw away a connection that is nearly open.
-        let opening = tokio::spawn(open_into(slot, self.shared.node.clone(), peer));
+        // Connect in a separate task: a caller with a short timeout, such as a probe,
+        // must not abort a connection attempt when it gives up.
+        let opening = tokio::spawn(connect_slot(slot, self.shared.node.clone(), peer));
         opening.await.unwrap_or(Err(LinkError::Unreachable(peer)))
     }
 }
 
 impl Slot {
     fn live(&self) -> Option<Arc<Link>> {
-        self.link.clone().filter(|link| !link.is_dead())
+        self.link.clone().filter(|link| !link.is_closed())
     }
 }
 
-/// Opens the connection of a slot, unless somebody else did meanwhile.
-async fn open_into(
+/// Opens the connection of a slot, unless another task has opened it meanwhile.
+async fn connect_slot(
     slot: Arc<tokio::sync::Mutex<Slot>>,
     node: Arc<Node>,
     peer: SocketAddr,
@@ -92,8 +92,8 @@
     if let Some(link) = slot.live() {
         return Ok(link);
     }
-    // Without a pause each request would knock at a dead peer again, and each
-    // would wait for the connection's own deadline.
+    // Without this delay each request would try to connect to an unreachable peer
+    // and wait for the connect timeout.
     if !slot.retry_at.has_passed_at(SystemClock.now()) {
         return Err(LinkError::Unreachable(peer));
     }
@@ -104,7 +104,7 @@
         }
         Err(error) => {
             slot.link = None;
-            slot.retry_at = SystemClock.now().plus_ms(RETRY_CONNECT_MS);
+            slot.retry_at = SystemClock.now().plus_ms(RECONNECT_DELAY_MS);
             Err(error)
         }
     }
--- a/crates/bilberry-node/src/logging.rs
+++ b/crates/bilberry-node/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines, bounded and never waited for.
+//! Logging as JSON lines through a bounded queue, without blocking the caller.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -19,22 +19,22 @@
 
 use crate::StartError;
 
-/// How many lines may wait for a reader of the log that is slow.
+/// The maximum number of lines that are queued for a slow reader of the log.
 ///
-/// At some two hundred bytes a line this is half a megabyte. A pipe that nobody
-/// empties would else stop the process in the middle of a request.
-const LINES_AHEAD: usize = 2_048;
+/// At about 200 bytes per line this is half a megabyte. Without the queue, a pipe
+/// that is not read would block the process in the middle of a request.
+const MAX_QUEUED_LINES: usize = 2_048;
 
-/// Where log lines go.
+/// The destination of log lines.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum LogSink {
-    /// Standard output, where the platform collects them.
+    /// Standard output, from which the platform collects logs.
     Output,
-    /// Standard error, where standard output says where the process listens.
+    /// Standard error, for processes that print their addresses to standard output.
     Error,
 }
 
-/// One line of the log.
+/// A log line.
 #[derive(Serialize)]
 struct Line<'a> {
     unix_ms: u64,
@@ -46,7 +46,7 @@
     fields: Map<String, serde_json::Value>,
 }
 
-/// Collects the fields of a line.
+/// Collects the key-value pairs of a log record.
 #[derive(Default)]
 struct Fields(Map<String, serde_json::Value>);
 
@@ -59,7 +59,7 @@
         let value = match (value.to_u64(), value.to_f64(), value.to_bool()) {
             (Some(number), _, _) => number.into(),
             (_, Some(number), _) => number.into(),
-            (_, _, Some(truth)) => truth.into(),
+            (_, _, Some(boolean)) => boolean.into(),
             _ => value.to_string().into(),
         };
         self.0.insert(key.to_string(), value);
@@ -67,7 +67,7 @@
     }
 }
 
-/// Starts to log at `level` and above.
+/// Starts logging at `level` and above.
 pub fn start_logging(
     process: Name,
     level: &str,
@@ -79,7 +79,7 @@
         .level(level)
         .format(move |out, message, record| {
             let mut fields = Fields::default();
-            // Only our own visitor could fail, and it does not.
+            // The only source of errors is the visitor, which never fails.
             let _ = record.key_values().visit(&mut fields);
             let line = Line {
                 unix_ms: SystemClock.now().0,
@@ -97,7 +97,7 @@
         .map_err(|error| StartError::Log(error.to_string()))
 }
 
-/// A bounded queue to a thread that writes.
+/// A bounded queue to the thread that writes the log.
 struct LineQueue {
     lines: SyncSender<String>,
     dropped: Arc<AtomicU64>,
@@ -105,14 +105,14 @@
 
 impl LineQueue {
     fn start(sink: LogSink) -> Result<Self, StartError> {
-        let (lines, waiting) = sync_channel(LINES_AHEAD);
+        let (lines, queued) = sync_channel(MAX_QUEUED_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
-        let counted = dropped.clone();
+        let dropped_lines = dropped.clone();
         std::thread::Builder::new()
             .name("log".to_string())
             .spawn(move || match sink {
-                LogSink::Output => write_all(&waiting, &counted, std::io::stdout()),
-                LogSink::Error => write_all(&waiting, &counted, std::io::stderr()),
+                LogSink::Output => write_all(&queued, &dropped_lines, std::io::stdout()),
+                LogSink::Error => write_all(&queued, &dropped_lines, std::io::stderr()),
             })
             .map_err(|error| StartError::Log(error.to_string()))?;
         Ok(Self { lines, dropped })
@@ -129,7 +129,7 @@
     while let Ok(line) = lines.recv() {
         let mut text = line;
         text.push('\n');
-        // Lines that wait already go out in one write.
+        // Batch the lines that are already queued into one write.
         while let Ok(line) = lines.try_recv() {
             text.push_str(&line);
             text.push('\n');
@@ -138,7 +138,7 @@
             0 => {}
             count => text.push_str(&format!("{{\"dropped_lines\":{count}}}\n")),
         }
-        // A log that can't be written must not end the process.
+        // Failing to write the log must not end the process.
         let _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
     }
 }
--- a/crates/bilberry-node/src/members.rs
+++ b/crates/bilberry-node/src/members.rs
@@ -1,4 +1,4 @@
-//! The processes of the system, as far as this one knows.
+//! The processes of the system that are known to this one.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -14,7 +14,7 @@
 use bilberry_wire::Member;
 use bilberry_wire::Role;
 
-/// A picture of the members at one moment.
+/// A snapshot of the members.
 #[derive(Debug, Default, Clone)]
 pub struct Members {
     /// All members by process.
@@ -25,38 +25,38 @@
     pub digest: u64,
 }
 
-/// Where the sidecar of an upstream is reached.
+/// The address and state of an upstream's sidecar.
 #[derive(Debug, Clone, Copy)]
 pub struct Sidecar {
     /// The address.
     pub address: SocketAddr,
-    /// Whether it takes no new work any more.
+    /// Whether it no longer accepts new work.
     pub leaving: bool,
 }
 
-/// The members, replaced as a whole when one of them changes.
+/// Holds the current members; each change replaces the snapshot.
 #[derive(Debug, Default)]
 pub struct MemberStore {
     current: ArcSwap<Members>,
-    changing: Mutex<()>,
+    change_lock: Mutex<()>,
 }
 
 impl MemberStore {
-    /// Returns the members.
+    /// Returns the current snapshot.
     pub fn current(&self) -> Arc<Members> {
         self.current.load_full()
     }
 
-    /// Takes in what somebody else knows; returns whether anything was new.
+    /// Merges members learned from elsewhere; returns whether anything changed.
     ///
-    /// A registration with a higher number replaces one with a lower number, and
-    /// "leaving" stays until the process registers anew. So answers that come
-    /// late or twice change nothing, whatever their order.
-    pub fn merge(&self, news: impl IntoIterator<Item = Member>) -> bool {
-        let _one_at_a_time = self.changing.lock().unwrap();
+    /// A registration with a higher version replaces one with a lower version, and
+    /// `leaving` stays set until the process registers again. The merge is therefore
+    /// idempotent and independent of the order in which updates arrive.
+    pub fn merge(&self, updates: impl IntoIterator<Item = Member>) -> bool {
+        let _guard = self.change_lock.lock().unwrap();
         let current = self.current.load_full();
         let mut by_process = current.by_process.clone();
-        for member in news {
+        for member in updates {
             match by_process.get_mut(&member.process) {
                 Some(known) if known.version > member.version => {}
                 Some(known) if known.version == member.version => {
@@ -67,30 +67,31 @@
                 }
             }
         }
-        self.replace_if_new(&current, by_process)
+        self.replace_if_changed(&current, by_process)
     }
 
-    /// Marks all members on a host as leaving; returns whether that was new.
+    /// Marks the matching members as leaving; returns whether anything changed.
     pub fn mark_leaving(&self, leaves: impl Fn(&Member) -> bool) -> bool {
-        let _one_at_a_time = self.changing.lock().unwrap();
+        let _guard = self.change_lock.lock().unwrap();
         let current = self.current.load_full();
         let mut by_process = current.by_process.clone();
         for member in by_process.values_mut().filter(|member| leaves(member)) {
             member.leaving = true;
         }
-        self.replace_if_new(&current, by_process)
+        self.replace_if_changed(&current, by_process)
     }
 
-    /// Forgets members whose registration is gone from the platform.
+    /// Removes the members for which `keep` returns false; returns whether anything
+    /// changed.
     pub fn retain(&self, keep: impl Fn(&Member) -> bool) -> bool {
-        let _one_at_a_time = self.changing.lock().unwrap();
+        let _guard = self.change_lock.lock().unwrap();
         let current = self.current.load_full();
         let mut by_process = current.by_process.clone();
         by_process.retain(|_, member| keep(member));
-        self.replace_if_new(&current, by_process)
+        self.replace_if_changed(&current, by_process)
     }
 
-    fn replace_if_new(
+    fn replace_if_changed(
         &self,
         current: &Members,
         by_process: BTreeMap<String, Member>,
@@ -113,8 +114,8 @@
             let Ok(address) = member.address.parse() else { continue };
             let upstream = Name::from(member.upstream.as_str());
             let newest = versions.entry(upstream.clone()).or_default();
-            // A replaced host registers under another process name for the same
-            // upstream; the later registration is the one that lives.
+            // A replacement host registers a different process name for the same
+            // upstream; the latest registration is the valid one.
             if member.version >= *newest {
                 *newest = member.version;
                 let sidecar = Sidecar { address, leaving: member.leaving };
@@ -124,7 +125,7 @@
         Self { digest: hasher.finish(), by_process, sidecars }
     }
 
-    /// Returns all addresses but the one of `process`.
+    /// Returns the addresses of all members except `process`.
     pub fn others(&self, process: &str) -> Vec<SocketAddr> {
         self.by_process
             .values()
--- a/crates/bilberry-node/src/metrics.rs
+++ b/crates/bilberry-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges that every process shows.
+//! The metrics of every process.
 
 use std::sync::Mutex;
 
@@ -10,7 +10,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// The labels of the byte and message counters between peers.
+/// The labels of the peer traffic counters.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct PeerLabels {
     /// `sent` or `received`.
@@ -19,10 +19,10 @@
     pub class: &'static str,
 }
 
-/// The labels of answers to callers.
+/// The labels of the counter of responses to callers.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct AnswerLabels {
-    /// The stable code, or `ok`.
+    /// The error code, or `ok`.
     pub code: String,
 }
 
@@ -30,31 +30,31 @@
 #[derive(Debug)]
 pub struct Metrics {
     registry: Mutex<Registry>,
-    /// Bytes between peers.
+    /// Bytes exchanged with peers.
     pub peer_bytes: Family<PeerLabels, Counter>,
-    /// Messages between peers.
+    /// Messages exchanged with peers.
     pub peer_messages: Family<PeerLabels, Counter>,
-    /// Answers to callers.
+    /// Responses to callers.
     pub answers: Family<AnswerLabels, Counter>,
-    /// Calls to the upstreams, first tries and retries.
+    /// Calls to upstreams, including retries.
     pub upstream_calls: Counter,
     /// Requests accepted for routing.
     pub requests: Counter,
-    /// Prompt tokens of answered requests.
+    /// Prompt tokens of completed requests.
     pub prompt_tokens: Counter,
-    /// Prompt tokens that engines had cached.
+    /// Prompt tokens found in the engines' caches.
     pub cached_tokens: Counter,
     /// Requests in progress.
     pub in_progress: Gauge,
-    /// Requests that wait for the upstream.
+    /// Requests queued for the upstream.
     pub queued: Gauge,
     /// Blocks in the sidecar's index.
     pub cached_blocks: Gauge,
-    /// Cache events taken in.
+    /// Processed cache events.
     pub cache_events: Counter,
     /// Gaps in the stream of cache events.
     pub cache_event_gaps: Counter,
-    /// The configuration revision in force.
+    /// The active configuration revision.
     pub revision: Gauge,
 }
 
@@ -124,7 +124,7 @@
         self.peer_messages.get_or_create(&labels).inc();
     }
 
-    /// Counts one answer to a caller.
+    /// Counts one response to a caller.
     pub fn count_answer(&self, code: &str) {
         self.answers.get_or_create(&AnswerLabels { code: code.to_string() }).inc();
     }
--- a/crates/bilberry-node/src/node.rs
+++ b/crates/bilberry-node/src/node.rs
@@ -1,4 +1,4 @@
-//! The shared core of one process.
+//! The state shared by all components of a process.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -19,59 +19,59 @@
 use crate::Metrics;
 use crate::PeerAhead;
 
-/// How many notes of a peer that is ahead may wait; more are dropped, as any
-/// one of them leads to the newest revision.
-const AHEAD_NOTES: usize = 16;
+/// The capacity of the queue of peers with a higher revision. Further entries are
+/// dropped, as any entry leads to the newest revision.
+const NEWER_PEERS_QUEUE: usize = 16;
 
-/// Why a process can't start.
+/// An error on starting a process.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     #[error(
         "{key}: can't listen on {address}: {reason}; give a free address of this host"
     )]
     Listen {
-        /// The key of the settings.
+        /// The settings key of the address.
         key: &'static str,
         /// The address.
         address: String,
-        /// What the system said.
+        /// The error of the operating system.
         reason: String,
     },
-    /// The log can't be set up.
+    /// Setting up the log failed.
     #[error("log: can't be set up: {0}; start only one daemon in a process")]
     Log(String),
 }
 
-/// The shared core of one process.
+/// The state shared by all components of a process.
 #[derive(Debug)]
 pub struct Node {
     member: Mutex<Member>,
     piggyback: bool,
-    ahead: mpsc::Sender<PeerAhead>,
-    ahead_notes: Mutex<Option<mpsc::Receiver<PeerAhead>>>,
+    newer_peers: mpsc::Sender<PeerAhead>,
+    newer_peers_receiver: Mutex<Option<mpsc::Receiver<PeerAhead>>>,
     leaving: AtomicBool,
     /// Recent events and the clock that stamps them.
     pub events: EventLog,
-    /// The configuration in force.
+    /// The active configuration.
     pub config: ConfigStore,
-    /// The processes of the system.
+    /// The known processes of the system.
     pub members: MemberStore,
-    /// Counters and gauges.
+    /// The metrics of this process.
     pub metrics: Metrics,
 }
 
 impl Node {
-    /// Creates the core of a process.
+    /// Creates the shared state of a process.
     pub fn new(member: Member, piggyback: bool) -> Arc<Self> {
-        let (ahead, ahead_notes) = mpsc::channel(AHEAD_NOTES);
+        let (newer_peers, newer_peers_receiver) = mpsc::channel(NEWER_PEERS_QUEUE);
         let knows_customers = member.role() == Role::Entry;
         Arc::new(Self {
             events: EventLog::new(member.process.as_str().into()),
             member: Mutex::new(member),
             piggyback,
-            ahead,
-            ahead_notes: Mutex::new(Some(ahead_notes)),
+            newer_peers,
+            newer_peers_receiver: Mutex::new(Some(newer_peers_receiver)),
             leaving: AtomicBool::new(false),
             config: ConfigStore::new(knows_customers),
             members: MemberStore::default(),
@@ -79,7 +79,7 @@
         })
     }
 
-    /// Returns what peers are told of this process.
+    /// Returns the member entry of this process, as sent to peers.
     pub fn member(&self) -> Member {
         let mut member = self.member.lock().unwrap().clone();
         member.leaving = self.is_leaving();
@@ -91,36 +91,36 @@
         self.member.lock().unwrap().process.clone()
     }
 
-    /// Notes the number that the platform gave the registration.
+    /// Stores the version that the platform assigned to the registration.
     pub fn note_registration(&self, version: u64) {
         self.member.lock().unwrap().version = version;
         self.members.merge([self.member()]);
     }
 
-    /// Reports whether this process takes no new work any more.
+    /// Returns whether this process no longer accepts new work.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Stops taking new work, for good; returns whether that was new.
-    pub fn leave(&self, why: &str) -> bool {
-        let fresh = !self.leaving.swap(true, Ordering::Relaxed);
-        if fresh {
-            self.events.record("", "leaving", why);
+    /// Permanently stops accepting new work; returns false if already stopped.
+    pub fn leave(&self, reason: &str) -> bool {
+        let newly_leaving = !self.leaving.swap(true, Ordering::Relaxed);
+        if newly_leaving {
+            self.events.record("", "leaving", reason);
             self.members.merge([self.member()]);
         }
-        fresh
+        newly_leaving
     }
 
-    /// Takes in what a peer knows of the members, this process among them.
+    /// Merges a peer's members, which may include this process.
     ///
-    /// That this process is leaving may be known elsewhere first, as only some
-    /// processes read the host list. What a peer says of an earlier life of this
-    /// process is passed over.
-    pub fn merge_members(&self, news: Vec<Member>) {
+    /// A peer may learn first that this process is leaving, as only some processes
+    /// read the host list. Entries for an earlier incarnation of this process are
+    /// ignored.
+    pub fn merge_members(&self, updates: Vec<Member>) {
         let own = self.member();
         let (about_own, others): (Vec<_>, Vec<_>) =
-            news.into_iter().partition(|member| member.process == own.process);
+            updates.into_iter().partition(|member| member.process == own.process);
         let is_me = |member: &Member| member.incarnation == own.incarnation;
         if about_own.iter().any(|member| member.leaving && is_me(member)) {
             self.leave("a peer read it in the host list");
@@ -128,7 +128,7 @@
         self.members.merge(others);
     }
 
-    /// Wraps a message into a frame and counts it.
+    /// Wraps a message in a frame and updates the metrics.
     pub fn frame(&self, call: u64, body: Body) -> Frame {
         let revision = if self.piggyback { self.config.revision() } else { 0 };
         let hlc = self.events.stamp();
@@ -139,21 +139,26 @@
         frame
     }
 
-    /// Takes note of what an incoming frame says of its sender.
+    /// Processes the metadata of an incoming frame: clock, size and revision.
     pub fn observe(&self, frame: &Frame, from: &str) {
         self.events.observe(frame.hlc);
         if let Some(body) = &frame.body {
             self.metrics.count_frame("received", body, frame.encoded_len());
         }
         if self.piggyback && frame.revision > self.config.revision() && !from.is_empty() {
-            let note = PeerAhead { revision: frame.revision, address: from.to_string() };
-            // A full queue already holds a note that leads to the newest revision.
-            let _ = self.ahead.try_send(note);
+            let notification =
+                PeerAhead { revision: frame.revision, address: from.to_string() };
+            // If the queue is full, its entries already lead to the newest revision.
+            let _ = self.newer_peers.try_send(notification);
         }
     }
 
-    /// Hands over the notes of peers that are ahead, once.
-    pub(crate) fn take_ahead_notes(&self) -> mpsc::Receiver<PeerAhead> {
-        self.ahead_notes.lock().unwrap().take().expect("the sync actor starts once")
+    /// Returns the receiver of peers with a higher revision; can be called once.
+    pub(crate) fn take_newer_peers(&self) -> mpsc::Receiver<PeerAhead> {
+        self.newer_peers_receiver
+            .lock()
+            .unwrap()
+            .take()
+            .expect("the sync actor starts once")
     }
 }
--- a/crates/bilberry-node/src/operations.rs
+++ b/crates/bilberry-node/src/operations.rs
@@ -1,4 +1,4 @@
-//! The operations address: metrics and health.
+//! The operations server: metrics and health checks.
 
 use std::sync::Arc;
 
@@ -12,16 +12,16 @@
 use crate::Node;
 use crate::OutBody;
 
-/// Whether a process can serve now, and if not, why.
+/// Reports whether a process is ready to serve requests.
 pub trait Readiness: Send + Sync + 'static {
-    /// Returns the reason why requests can't be served, if there is one.
+    /// Returns the reason why the process is not ready, if any.
     fn hindrance(&self) -> Option<&'static str>;
 
-    /// Brings gauges up to date before they are shown.
+    /// Updates gauges before metrics are rendered.
     fn refresh(&self) {}
 }
 
-/// Serves metrics and health.
+/// Serves metrics and health checks.
 #[derive(Debug)]
 pub struct Operations<R> {
     node: Arc<Node>,
--- a/crates/bilberry-node/src/peer_server.rs
+++ b/crates/bilberry-node/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Taking calls from peers.
+//! The server for calls from peers.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -20,24 +20,26 @@
 use crate::Node;
 use crate::link::send_frames;
 
-/// After how much silence a connection with calls in progress is given up.
+/// The time without a frame after which a connection with calls in progress is
+/// closed.
 ///
-/// A peer with calls in progress pings well within this time.
-const DEAD_AFTER: Duration = Duration::from_secs(5);
+/// A peer with calls in progress sends pings at a much shorter interval.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How many frames may wait to be sent on one connection.
-const SEND_QUEUE: usize = 256;
+/// The capacity of the send queue of one connection, in frames.
+const SEND_QUEUE_FRAMES: usize = 256;
 
-/// After how many calls the finished ones are cleared away.
-const CLEAR_EVERY: usize = 64;
+/// The number of stored tasks at whose multiples finished tasks are removed.
+const CLEANUP_INTERVAL: usize = 64;
 
-/// Serves the calls of peers.
+/// Handles calls from peers.
 pub trait PeerHandler: Send + Sync + 'static {
-    /// Serves one call; it is dropped if the peer cancels or is lost.
+    /// Handles one call; the future is dropped if the peer cancels the call or
+    /// disconnects.
     fn handle(&self, body: Body, reply: Reply) -> impl Future<Output = ()> + Send;
 }
 
-/// The way back to the peer that made a call.
+/// Sends answers to the peer that made a call.
 #[derive(Debug, Clone)]
 pub struct Reply {
     call: u64,
@@ -46,13 +48,13 @@
 }
 
 impl Reply {
-    /// Sends a message; returns false if the peer is gone.
+    /// Sends a message; returns false if the peer has disconnected.
     pub async fn send(&self, body: Body) -> bool {
         self.frames.send(self.node.frame(self.call, body)).await.is_ok()
     }
 }
 
-/// Takes connections of peers until the task is dropped.
+/// Accepts peer connections until the task is dropped.
 pub async fn serve_peers<H: PeerHandler>(
     node: Arc<Node>,
     listener: TcpListener,
@@ -64,7 +66,7 @@
                 tokio::spawn(serve_peer(node.clone(), socket, handler.clone()));
             }
             Err(error) => {
-                log::warn!("a peer's connection was not taken: {error}");
+                log::warn!("failed to accept a peer connection: {error}");
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
@@ -74,20 +76,20 @@
 async fn serve_peer<H: PeerHandler>(node: Arc<Node>, socket: TcpStream, handler: Arc<H>) {
     let _ = socket.set_nodelay(true);
     let (reader, writer) = socket.into_split();
-    let (frames, queue) = mpsc::channel(SEND_QUEUE);
+    let (frames, queue) = mpsc::channel(SEND_QUEUE_FRAMES);
     let writer = FramedWrite::new(writer, FrameCodec::new());
     let sending = tokio::spawn(send_frames(writer, queue));
     let mut calls = Calls { node, frames, handler, tasks: HashMap::new() };
     calls.serve(FramedRead::new(reader, FrameCodec::new())).await;
-    // A lost peer has nobody to answer to: its calls are dropped, which cancels
-    // them down to the engine. Otherwise they would hold places until their end.
+    // Abort the calls of a disconnected peer, which cancels them down to the engine.
+    // Otherwise they would occupy capacity until they complete.
     for task in calls.tasks.values() {
         task.abort();
     }
     sending.abort();
 }
 
-/// The calls of one connection.
+/// The calls in progress on one connection.
 struct Calls<H> {
     node: Arc<Node>,
     frames: mpsc::Sender<Frame>,
@@ -102,17 +104,17 @@
     {
         let mut from = String::new();
         loop {
-            match timeout(DEAD_AFTER, frames.next()).await {
+            match timeout(IDLE_TIMEOUT, frames.next()).await {
                 Ok(Some(Ok(frame))) => {
                     if let Some(Body::Hello(hello)) = &frame.body {
                         from.clone_from(&hello.address);
                     }
                     self.node.observe(&frame, &from);
-                    self.take(frame).await;
+                    self.handle_frame(frame).await;
                 }
                 Ok(_) => return,
                 Err(_) => {
-                    self.clear();
+                    self.remove_finished();
                     if !self.tasks.is_empty() {
                         return;
                     }
@@ -121,7 +123,7 @@
         }
     }
 
-    async fn take(&mut self, frame: Frame) {
+    async fn handle_frame(&mut self, frame: Frame) {
         match frame.body {
             None | Some(Body::Hello(_)) => {}
             Some(Body::Ping(_)) => {
@@ -138,7 +140,7 @@
     }
 
     fn start(&mut self, call: u64, body: Body) {
-        // A duplicated frame must not start its call a second time.
+        // Ignore duplicate frames, so that a call is not started twice.
         if self.tasks.contains_key(&call) {
             return;
         }
@@ -146,12 +148,12 @@
         let handler = self.handler.clone();
         let task = tokio::spawn(async move { handler.handle(body, reply).await });
         self.tasks.insert(call, task);
-        if self.tasks.len().is_multiple_of(CLEAR_EVERY) {
-            self.clear();
+        if self.tasks.len().is_multiple_of(CLEANUP_INTERVAL) {
+            self.remove_finished();
         }
     }
 
-    fn clear(&mut self) {
+    fn remove_finished(&mut self) {
         self.tasks.retain(|_, task| !task.is_finished());
     }
 }
--- a/crates/bilberry-node/src/registration.rs
+++ b/crates/bilberry-node/src/registration.rs
@@ -1,4 +1,4 @@
-//! Registering this process with the platform.
+//! Registration of this process with the platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,16 +15,16 @@
 
 use crate::Node;
 
-/// Where registrations stand.
+/// The key prefix of registrations.
 pub(crate) const NODES_PREFIX: &str = "nodes/";
 
-/// The first pause after a failed registration.
-const BASE_PAUSE_MS: u64 = 100;
+/// The initial retry delay after a failed registration.
+const BASE_DELAY_MS: u64 = 100;
 
-/// The longest pause after a failed registration.
-const MOST_PAUSE_MS: u64 = 5_000;
+/// The maximum retry delay after a failed registration.
+const MAX_DELAY_MS: u64 = 5_000;
 
-/// A registration as the platform stores it.
+/// A registration in its stored form.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Registration {
     pub process: String,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Returns the member that was registered under `version`.
+    /// Converts a registration stored at `version` to a member.
     pub(crate) fn member(self, version: u64) -> Member {
         let role = if self.sidecar_of.is_some() { Role::Sidecar } else { Role::Entry };
         Member {
@@ -62,22 +62,22 @@
     }
 }
 
-/// Registers this process, trying again until the platform has taken it.
+/// Registers this process, and retries until the platform has accepted it.
 pub async fn register<P: Platform>(node: Arc<Node>, platform: P) {
     let member = node.member();
     let key = format!("{NODES_PREFIX}{}", member.process);
     let value = serde_json::to_string(&Registration::of(&member)).unwrap_or_default();
-    for try_number in 0.. {
+    for attempt in 0.. {
         match register_once(&platform, &key, &value).await {
             Ok(version) => {
                 node.note_registration(version);
                 return;
             }
-            Err(error) => log::debug!("not registered yet: {error}"),
+            Err(error) => log::debug!("registration failed, retrying: {error}"),
         }
-        let unit = rand::random();
-        let pause_ms = backoff_ms(try_number, BASE_PAUSE_MS, MOST_PAUSE_MS, unit);
-        tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+        let jitter = rand::random();
+        let delay_ms = backoff_ms(attempt, BASE_DELAY_MS, MAX_DELAY_MS, jitter);
+        tokio::time::sleep(Duration::from_millis(delay_ms)).await;
     }
 }
 
--- a/crates/bilberry-node/src/sync_actor.rs
+++ b/crates/bilberry-node/src/sync_actor.rs
@@ -1,6 +1,6 @@
-//! The actor that installs configurations and members.
+//! The actor that installs configurations and member updates.
 //!
-//! One actor installs what it is told, so that installs come one at a time.
+//! A single actor handles all updates, so that they are installed sequentially.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -17,49 +17,50 @@
 use crate::Node;
 use crate::registration::Registration;
 
-/// Where the head stands.
+/// The key of the head.
 pub const HEAD_KEY: &str = "config/head";
 
-/// Where pieces stand, by hash.
+/// The key prefix of pieces, which is followed by the hash.
 pub const PIECES_PREFIX: &str = "config/pieces/";
 
-/// How many peers are told of a new revision at once.
+/// The number of peers that are notified of a new revision.
 ///
-/// Four reach a thousand processes in five steps. One would take as many steps
-/// as the regular exchange, which is slower than a change may be.
+/// A fan-out of four reaches a thousand processes in five rounds. With one it
+/// would take as many rounds as the periodic exchange, which is too slow for a
+/// configuration change.
 const FANOUT: usize = 4;
 
-/// How long telling one peer may take.
-const TELL_WAIT: Duration = Duration::from_millis(1_000);
+/// The timeout for notifying one peer.
+const NOTIFY_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Says that a peer showed a higher revision.
+/// Reports that a peer has a higher revision.
 #[derive(Debug, Clone)]
 pub struct PeerAhead {
-    /// The revision.
+    /// The peer's revision.
     pub revision: u64,
-    /// Where the peer is reached.
+    /// The peer's address.
     pub address: String,
 }
 
-/// Says that the head was read, with those of its pieces that were at hand.
+/// Message with a head and those of its pieces that were received with it.
 #[derive(Debug, Clone)]
 pub struct HeadSeen {
-    /// The head as it is stored.
+    /// The head in its stored form.
     pub head: String,
-    /// Pieces that came with it.
+    /// The pieces received with it.
     pub pieces: Vec<Piece>,
 }
 
-/// Says that the platform's registrations were read.
+/// Message with registrations read from the platform.
 #[derive(Debug, Clone)]
 pub(crate) struct NodesSeen {
-    /// Registrations with their versions; `None` for one that was deleted.
+    /// The registrations with their versions; `None` if deleted or unreadable.
     pub nodes: Vec<(u64, Option<Registration>)>,
-    /// Whether these are all there are.
-    pub whole: bool,
+    /// Whether the list is complete rather than a set of changes.
+    pub is_complete: bool,
 }
 
-/// The actor that installs configurations and members.
+/// The actor that installs configurations and member updates.
 #[derive(Debug, xtra::Actor)]
 pub struct SyncActor<P> {
     node: Arc<Node>,
@@ -74,12 +75,13 @@
 }
 
 impl<P: Platform> SyncActor<P> {
-    /// Fetches the pieces of a head that are neither held nor given.
+    /// Fetches the pieces of a head that are neither installed nor in `pieces`.
     async fn fetch_missing(&self, head: &Head, pieces: &mut Vec<Piece>) {
-        let held = self.node.config.in_force();
-        let given: HashSet<_> = pieces.iter().map(|piece| piece.hash.clone()).collect();
+        let active = self.node.config.in_force();
+        let received: HashSet<_> =
+            pieces.iter().map(|piece| piece.hash.clone()).collect();
         for piece in &head.pieces {
-            if given.contains(&piece.hash) || held.pieces.contains_key(&piece.hash) {
+            if received.contains(&piece.hash) || active.pieces.contains_key(&piece.hash) {
                 continue;
             }
             let key = format!("{PIECES_PREFIX}{}", piece.hash);
@@ -89,20 +91,23 @@
                     pieces.push(Piece { hash: piece.hash.clone(), text });
                 }
                 Err(error) => {
-                    log::warn!("revision {} waits for a piece: {error}", head.revision);
+                    log::warn!(
+                        "revision {} is delayed, a piece could not be read: {error}",
+                        head.revision
+                    );
                     return;
                 }
             }
         }
     }
 
-    /// Tells a few random peers, whose frames then tell others.
-    fn tell_peers(&self) {
+    /// Notifies a few random peers, which notify others in turn.
+    fn notify_peers(&self) {
         let others = self.node.members.current().others(&self.node.process());
         for &peer in others.sample(&mut rand::rng(), FANOUT) {
             let links = self.links.clone();
             tokio::spawn(async move {
-                let _ = links.ask(peer, Body::Ping(true), TELL_WAIT).await;
+                let _ = links.ask(peer, Body::Ping(true), NOTIFY_TIMEOUT).await;
             });
         }
     }
@@ -123,7 +128,7 @@
                 let detail = format!("revision {}", head.revision);
                 self.node.events.record("", "config_in_force", detail);
                 log::info!("revision {} is in force", head.revision);
-                self.tell_peers();
+                self.notify_peers();
             }
             Ok(false) => {}
             Err(error) => log::error!("revision {}: {error}", head.revision),
@@ -141,7 +146,7 @@
             .into_iter()
             .filter_map(|(version, node)| Some(node?.member(version)))
             .collect();
-        if seen.whole {
+        if seen.is_complete {
             let names: HashSet<_> = found.iter().map(|m| m.process.as_str()).collect();
             self.node.members.retain(|known| {
                 known.process == own || names.contains(known.process.as_str())
--- a/crates/bilberry-node/src/unreadable.rs
+++ b/crates/bilberry-node/src/unreadable.rs
@@ -1,4 +1,4 @@
-//! The count of objects that a process could not understand.
+//! The counter of objects that a process could not parse.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -11,7 +11,7 @@
     kind: &'static str,
 }
 
-/// Counts objects of the platform's store that can't be understood, by kind.
+/// Counts objects of the platform's store that can't be parsed, by kind.
 #[derive(Debug, Clone, Default)]
 pub struct UnreadableObjects {
     by_kind: Family<KindLabel, Counter>,
@@ -24,7 +24,8 @@
         registry.register("unreadable_objects", help, self.by_kind.clone());
     }
 
-    /// Shows the counter of a kind as zero, so that its first step can be seen.
+    /// Exports the counter of a kind as zero, so that its first increment is visible
+    /// in rates.
     pub fn declare(&self, kind: &'static str) {
         drop(self.by_kind.get_or_create(&KindLabel { kind }));
     }
--- a/crates/bilberry-node/src/watch.rs
+++ b/crates/bilberry-node/src/watch.rs
@@ -1,4 +1,4 @@
-//! Following the platform's head, registrations and host list.
+//! Watches the platform's configuration head, registrations and host list.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -20,19 +20,19 @@
 use crate::sync_actor::NodesSeen;
 use crate::sync_actor::SyncActor;
 
-/// How often watchers read the host list.
-const HOSTS_EVERY_MS: u64 = 1_000;
+/// The interval at which watchers read the host list.
+const HOSTS_INTERVAL_MS: u64 = 1_000;
 
-/// How often a process that is no watcher looks at the platform itself.
-const LOOK_EVERY_MS: u64 = 60_000;
+/// The interval at which a process that is not a watcher polls the platform.
+const POLL_INTERVAL_MS: u64 = 60_000;
 
-/// The pause after a failed call.
-const PAUSE_MS: u64 = 300;
+/// The delay after a failed call.
+const RETRY_DELAY_MS: u64 = 300;
 
-/// The hash by which watchers are ranked.
-const WATCHERS_HASH: u64 = 0x5743_4845;
+/// The rendezvous hash key that ranks watchers.
+const WATCHERS_HASH_KEY: u64 = 0x5743_4845;
 
-/// Follows the platform until the actor is gone.
+/// Runs the watches; those of the head and registrations end with the actor.
 pub(crate) async fn watch_platform<P: Platform>(
     node: Arc<Node>,
     platform: P,
@@ -45,11 +45,12 @@
     tokio::join!(head, nodes, hosts);
 }
 
-/// Reports whether this process is among those that watch.
+/// Returns whether this process is one of the watchers.
 ///
-/// The platform's rates grow more slowly than the fleet: were every process to
-/// watch, each change would cost as many reads as there are processes. The
-/// members rank themselves alike everywhere, and the others hear from peers.
+/// If every process watched, each change would cost one read per process, and the
+/// platform's rate limits grow more slowly than the number of processes. All
+/// processes compute the same ranking of members; those that are not watchers
+/// receive changes from peers.
 fn is_watcher(node: &Node, watchers: usize) -> bool {
     let members = node.members.current();
     if members.by_process.len() <= watchers {
@@ -59,7 +60,7 @@
     let live = members.by_process.values().filter(|member| !member.leaving);
     let all: Vec<_> =
         live.map(|m| Candidate::new(m.process.as_str().into(), 0)).collect();
-    let chosen = rendezvous(WATCHERS_HASH, &all, watchers);
+    let chosen = rendezvous(WATCHERS_HASH_KEY, &all, watchers);
     chosen.into_iter().any(|at| all[at].upstream == own)
 }
 
@@ -69,9 +70,9 @@
     sync: Address<SyncActor<P>>,
     watchers: usize,
 ) {
-    let mut news = News::new(node, platform, HEAD_KEY, watchers);
+    let mut watch = PrefixWatch::new(node, platform, HEAD_KEY, watchers);
     loop {
-        let listing = news.next().await;
+        let listing = watch.next().await;
         for head in listing.objects.into_iter().filter_map(|o| o.value) {
             if sync.send(HeadSeen { head, pieces: Vec::new() }).await.is_err() {
                 return;
@@ -86,17 +87,17 @@
     sync: Address<SyncActor<P>>,
     watchers: usize,
 ) {
-    let mut news = News::new(node, platform, NODES_PREFIX, watchers);
+    let mut watch = PrefixWatch::new(node, platform, NODES_PREFIX, watchers);
     loop {
-        let listing = news.next().await;
+        let listing = watch.next().await;
         let read = |text: String| serde_json::from_str::<Registration>(&text);
         let nodes = listing
             .objects
             .into_iter()
             .map(|o| (o.version, o.value.and_then(|text| read(text).ok())))
             .collect();
-        let whole = news.is_whole;
-        if sync.send(NodesSeen { nodes, whole }).await.is_err() {
+        let is_complete = watch.is_complete;
+        if sync.send(NodesSeen { nodes, is_complete }).await.is_err() {
             return;
         }
     }
@@ -115,68 +116,70 @@
                 node.leave("the host list says so");
             }
         }
-        let every_ms = match is_watcher(&node, watchers) {
-            true => HOSTS_EVERY_MS,
-            false => LOOK_EVERY_MS,
+        let interval_ms = match is_watcher(&node, watchers) {
+            true => HOSTS_INTERVAL_MS,
+            false => POLL_INTERVAL_MS,
         };
-        let pause_ms = every_ms / 2 + rand::random_range(0..=every_ms / 2);
-        tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+        let delay_ms = interval_ms / 2 + rand::random_range(0..=interval_ms / 2);
+        tokio::time::sleep(Duration::from_millis(delay_ms)).await;
     }
 }
 
-/// What is new below a prefix of the platform.
-struct News<P> {
+/// A watch on the objects under a prefix.
+struct PrefixWatch<P> {
     node: Arc<Node>,
     platform: P,
     prefix: &'static str,
     watchers: usize,
     position: u64,
-    /// Whether the last listing shows everything, not only changes.
-    is_whole: bool,
+    /// Whether the last listing is complete rather than a set of changes.
+    is_complete: bool,
 }
 
-impl<P: Platform> News<P> {
+impl<P: Platform> PrefixWatch<P> {
     fn new(node: Arc<Node>, platform: P, prefix: &'static str, watchers: usize) -> Self {
-        Self { node, platform, prefix, watchers, position: 0, is_whole: true }
+        Self { node, platform, prefix, watchers, position: 0, is_complete: true }
     }
 
-    /// Reads everything at first, and waits for news from then on.
+    /// Returns a complete listing first, and changes from then on.
     async fn next(&mut self) -> Listing {
         loop {
-            self.rest().await;
-            self.is_whole = self.position == 0;
-            match self.look().await {
+            self.wait_for_turn().await;
+            self.is_complete = self.position == 0;
+            match self.fetch().await {
                 Ok(listing) => {
                     self.position = listing.position;
                     return listing;
                 }
-                Err(error) => self.pause_after(error).await,
+                Err(error) => self.delay_after(error).await,
             }
         }
     }
 
-    async fn look(&self) -> Result<Listing, PlatformError> {
+    async fn fetch(&self) -> Result<Listing, PlatformError> {
         match self.position {
             0 => self.platform.list(self.prefix).await,
             position => self.platform.watch(self.prefix, position).await,
         }
     }
 
-    /// Lets a process that is no watcher look only now and then.
-    async fn rest(&mut self) {
+    /// Waits for the polling interval if this process is not a watcher.
+    async fn wait_for_turn(&mut self) {
         if self.position != 0 && !is_watcher(&self.node, self.watchers) {
-            let pause_ms = LOOK_EVERY_MS / 2 + rand::random_range(0..=LOOK_EVERY_MS);
-            tokio::time::sleep(Duration::from_millis(pause_ms)).await;
-            // Reads everything at the next turn instead of waiting for news.
+            let delay_ms =
+                POLL_INTERVAL_MS / 2 + rand::random_range(0..=POLL_INTERVAL_MS);
+            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
+            // Request a complete listing next instead of waiting for changes.
             self.position = 0;
         }
     }
 
-    async fn pause_after(&mut self, error: PlatformError) {
-        log::debug!("the platform is not followed: {error}");
-        // The store may have come back with another history: read all of it again.
+    async fn delay_after(&mut self, error: PlatformError) {
+        log::debug!("platform watch failed, retrying: {error}");
+        // The store may have been restored with a different history, so request a
+        // complete listing next.
         self.position = 0;
-        let pause_ms = PAUSE_MS / 2 + rand::random_range(0..=PAUSE_MS);
-        tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+        let delay_ms = RETRY_DELAY_MS / 2 + rand::random_range(0..=RETRY_DELAY_MS);
+        tokio::time::sleep(Duration::from_millis(delay_ms)).await;
     }
 }
