--- a/crates/bilberry-node/src/client_times.rs
+++ b/crates/bilberry-node/src/client_times.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    fn note_bytes(&self, times: ClientTimes) {
+    fn record_bytes(&self, times: ClientTimes) {
         let mut phase = self.phase.lock().unwrap();
         if matches!(*phase, Phase::Idle { .. }) {
             *phase = Phase::Head { deadline: deadline_after(times.header_ms) };
@@ -140,7 +140,7 @@
         match Pin::new(&mut io.stream).poll_read(cx, buffer) {
             Poll::Ready(read) => {
                 if buffer.filled().len() > before {
-                    io.phase.note_bytes((io.times)());
+                    io.phase.record_bytes((io.times)());
                 }
                 Poll::Ready(read)
             }
--- a/crates/bilberry-node/src/peer_server.rs
+++ b/crates/bilberry-node/src/peer_server.rs
@@ -29,7 +29,7 @@
 /// The capacity of the send queue of one connection, in frames.
 const SEND_QUEUE_FRAMES: usize = 256;
 
-/// The number of stored tasks at whose multiples finished tasks are removed.
+/// Finished tasks are removed when the number of tasks is a multiple of this.
 const CLEANUP_INTERVAL: usize = 64;
 
 /// Handles calls from peers.
--- a/crates/bilberry-platform/src/http.rs
+++ b/crates/bilberry-platform/src/http.rs
@@ -123,7 +123,7 @@
         };
         match response {
             Ok(response) if is_failure(response.status()) => {
-                self.note_failure();
+                self.record_failure();
                 Err(PlatformError::Unclear(format!("status {}", response.status())))
             }
             Ok(response) => {
@@ -131,7 +131,7 @@
                 Ok(response)
             }
             Err(reason) => {
-                self.note_failure();
+                self.record_failure();
                 Err(PlatformError::Unclear(reason))
             }
         }
@@ -177,7 +177,7 @@
         }
     }
 
-    fn note_failure(&self) {
+    fn record_failure(&self) {
         let mut health = self.shared.health.lock().unwrap();
         health.consecutive_failures = health.consecutive_failures.saturating_add(1);
         // Jitter prevents synchronized retries by all processes when the platform
