--- a/crates/bilberryd/src/hosted.rs
+++ b/crates/bilberryd/src/hosted.rs
@@ -1,4 +1,4 @@
-//! Processes that the users' platform starts and supplies with settings.
+//! Processes that are started and configured by the users' platform.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -51,50 +51,54 @@
 use crate::status::StatusPage;
 use crate::wait_for_signal;
 
-/// The port on which each process shows its metrics.
+/// The port of the metrics server.
 const METRICS_PORT: u16 = 9464;
 
-/// The bounds on callers until the operators' own are in force.
+/// The limits on callers until the operators' configuration is active.
 ///
-/// Heads are checked against the operators' bound once they are read. The time
-/// covers idle connections too, so it is longer than any idle time in use.
-const CALLERS: HttpLimits =
+/// The size of request heads is checked against the operators' limit after they
+/// are read. The timeout also applies to idle connections, so it is longer than
+/// any idle timeout in use.
+const CALLER_LIMITS: HttpLimits =
     HttpLimits { header_bytes: 128 * 1024, header_ms: 60_000, connections: 3_000 };
 
-/// The bounds on those who ask for readiness or metrics.
-const OPERATORS: HttpLimits =
+/// The limits on clients of the readiness and metrics servers.
+const OPERATOR_LIMITS: HttpLimits =
     HttpLimits { header_bytes: 16 * 1024, header_ms: 60_000, connections: 32 };
 
-/// For how long a stopping entry still takes connections.
+/// The time for which a stopping entry still accepts connections.
 ///
-/// The balancer asks once a second and sends callers until it was told twice.
-const LAST_CALLERS: Duration = Duration::from_millis(2_500);
+/// The load balancer checks readiness once per second and stops sending callers
+/// after two failed checks.
+const LINGER_TIME: Duration = Duration::from_millis(2_500);
 
-/// How much sooner than the platform's limit a stopping process ends by itself.
+/// The margin by which a shutdown ends before the platform's limit.
 const GRACE_MARGIN_MS: u64 = 700;
 
-/// For how long a key counts less than the platform allows.
+/// The margin by which the validity of a key is shorter than the platform allows.
 ///
 /// Covers the rounding of two clock readings.
-const KEYS_MARGIN_MS: u64 = 50;
+const KEY_VALIDITY_MARGIN_MS: u64 = 50;
 
-/// How often idle connections to upstreams are looked through.
-const CLOSE_IDLE_EVERY: Duration = Duration::from_secs(1);
+/// The interval at which connections to upstreams are checked for idle ones.
+const CLOSE_IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a process can't run.
+/// An error on running a hosted process.
 #[derive(Debug, Error)]
 pub enum HostedError {
-    /// An address can't be listened on, or the log can't be started.
+    /// Listening on an address or setting up the log failed.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// The settings lack an address that the role needs.
-    #[error("the settings lack the address for {0}; check what the role serves")]
+    /// An address required by the role is missing in the settings.
+    #[error(
+        "the settings lack the address for {0}; add the address that the role requires"
+    )]
     NoAddress(&'static str),
 }
 
-/// Runs the process that the platform's settings describe, until it is stopped.
+/// Runs a process with the platform's settings until it is stopped.
 ///
-/// Returns whether all requests in progress could be finished.
+/// Returns whether all requests in progress were completed.
 pub async fn run_hosted(
     settings: HostSettings,
     path: PathBuf,
@@ -107,29 +111,29 @@
         "starts"
     );
     let in_force = settings.clone();
-    on_hangup(move || note_reload(&path, &in_force));
+    on_hangup(move || log_reload(&path, &in_force));
     let whole = match settings.role {
         HostRole::Entry => run_entry(settings).await?,
         HostRole::Sidecar => run_sidecar(settings).await?,
     };
     log::info!(target: "process", whole; "stops");
-    // The log's thread writes what is left.
+    // Leave time for the log thread to write the remaining lines.
     sleep(Duration::from_millis(20)).await;
     Ok(whole)
 }
 
-/// Logs what a changed settings file holds.
+/// Logs whether the settings file has changed.
 ///
-/// Addresses and bounds are fixed for as long as a process runs; what operators
-/// change while it runs comes from the store. A change here takes a restart.
-fn note_reload(path: &Path, in_force: &HostSettings) {
+/// Addresses and limits are fixed for the lifetime of a process; configuration that
+/// can change at run time comes from the store. Other changes require a restart.
+fn log_reload(path: &Path, in_force: &HostSettings) {
     match HostSettings::load(path) {
         Ok(read) => {
             let changed = read != *in_force;
-            log::info!(target: "process", changed; "settings read again; a change takes a restart");
+            log::info!(target: "process", changed; "settings reloaded; changes require a restart");
         }
         Err(error) => {
-            log::warn!(target: "process", reason = error.to_string().as_str(); "settings not read again, those in force stay");
+            log::warn!(target: "process", reason = error.to_string().as_str(); "failed to reload the settings; the active settings remain");
         }
     }
 }
@@ -143,7 +147,7 @@
         clock,
         GatewaySettings {
             place: settings.place.clone(),
-            keys_good_ms: settings.keys_good_ms.map(|ms| ms - KEYS_MARGIN_MS),
+            keys_good_ms: settings.keys_good_ms.map(|ms| ms - KEY_VALIDITY_MARGIN_MS),
             weights_bound_ms: settings.weights_bound_ms,
             budget: BudgetTerms {
                 ratio: settings.repeat_ratio,
@@ -176,25 +180,25 @@
     }
     tokio::spawn(follow_prompt_stores(gateway.clone()));
     let listener = bind("callers", callers).await?;
-    let server = GracefulServer::start(listener, CALLERS, gateway.clone());
+    let server = GracefulServer::start(listener, CALLER_LIMITS, gateway.clone());
     let status = Arc::new(StatusPage { process: gateway.clone() });
     let listener = bind("readiness", readiness).await?;
-    let _readiness = GracefulServer::start(listener, OPERATORS, status.clone());
+    let _readiness = GracefulServer::start(listener, OPERATOR_LIMITS, status.clone());
     let metrics = SocketAddr::new(settings.bind, METRICS_PORT);
     let _metrics =
-        GracefulServer::start(bind("metrics", metrics).await?, OPERATORS, status);
+        GracefulServer::start(bind("metrics", metrics).await?, OPERATOR_LIMITS, status);
     let closing = gateway.clone();
     tokio::spawn(async move {
         loop {
-            sleep(CLOSE_IDLE_EVERY).await;
+            sleep(CLOSE_IDLE_INTERVAL).await;
             closing.connections.close_idle();
         }
     });
     wait_for_signal().await;
     log::info!(target: "process", grace_ms = settings.grace_ms; "stopping");
     gateway.stop();
-    sleep(LAST_CALLERS).await;
-    let used_ms = LAST_CALLERS.as_millis() as u64 + GRACE_MARGIN_MS;
+    sleep(LINGER_TIME).await;
+    let used_ms = LINGER_TIME.as_millis() as u64 + GRACE_MARGIN_MS;
     let left = Duration::from_millis(settings.grace_ms.saturating_sub(used_ms));
     Ok(server.stop(left).await)
 }
@@ -205,12 +209,13 @@
     let newest = Arc::new(Newest::default());
     let holder = settings.host.to_string();
     let cache = Arc::new(CacheView::new());
-    // Bound first: from then on no entry orders this engine.
+    // Bind first: from now on no entry sends orders to this engine.
     let feed = bind("peers", SocketAddr::new(settings.bind, settings.peers_port)).await?;
-    let apart_ms = settings.lease_ms.map_or(0, |lease_ms| lease_ms + ORDER_MS);
-    let first_order = Arc::new(FirstOrder::at(clock.now().plus_ms(apart_ms)));
-    // A client of its own: a question for events that waits must not hold up the
-    // questions that show whether the engine lives.
+    let first_order_delay_ms =
+        settings.lease_ms.map_or(0, |lease_ms| lease_ms + ORDER_MS);
+    let first_order = Arc::new(FirstOrder::at(clock.now().plus_ms(first_order_delay_ms)));
+    // Use a separate client, so that long polling for cache events does not delay the
+    // health checks of the engine.
     tokio::spawn(cache.clone().follow(HttpEngine::new(engine)));
     let steward = Steward::new(
         HttpEngine::new(engine),
@@ -233,9 +238,9 @@
     let _metrics = serve_metrics(&settings, status).await?;
     let stores = PromptStores::new(HttpEngine::new);
     let crashes = CrashRelay::new();
-    let told =
+    let feed_state =
         Feed { state: steward.state(), cache, stores, newest, crashes, hub, clock };
-    tokio::spawn(serve_feed(feed, told));
+    tokio::spawn(serve_feed(feed, feed_state));
     tokio::spawn(steward.run());
     wait_for_signal().await;
     Ok(true)
@@ -246,5 +251,5 @@
     status: Arc<StatusPage<S>>,
 ) -> Result<GracefulServer, HostedError> {
     let address = SocketAddr::new(settings.bind, METRICS_PORT);
-    Ok(GracefulServer::start(bind("metrics", address).await?, OPERATORS, status))
+    Ok(GracefulServer::start(bind("metrics", address).await?, OPERATOR_LIMITS, status))
 }
--- a/crates/bilberryd/src/lib.rs
+++ b/crates/bilberryd/src/lib.rs
@@ -1,4 +1,4 @@
-//! The daemon: builds a process of the system from its settings and runs it.
+//! The daemon, which starts and runs a process of the system from its settings.
 
 mod hosted;
 mod process;
--- a/crates/bilberryd/src/main.rs
+++ b/crates/bilberryd/src/main.rs
@@ -1,4 +1,4 @@
-//! `bilberryd`: one process of the system.
+//! `bilberryd`, the daemon that runs one process of the system.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -13,14 +13,14 @@
 use bilberryd::wait_for_signal;
 use gumdrop::Options;
 
-/// The exit code for settings that are refused.
+/// The exit code for invalid settings.
 const EXIT_SETTINGS: u8 = 2;
 
-/// The exit code for a process that can't start.
+/// The exit code for a failure to start.
 const EXIT_START: u8 = 3;
 
-/// The exit code for a stop that had to cut requests.
-const EXIT_CUT: u8 = 4;
+/// The exit code for a shutdown that aborted requests.
+const EXIT_ABORTED: u8 = 4;
 
 /// Runs one process of bilberrypaddle, an entry or a sidecar.
 #[derive(Debug, Options)]
@@ -65,7 +65,7 @@
     }
 }
 
-/// Runs with the settings that the users' platform supplies.
+/// Runs with the settings supplied by the users' platform.
 fn run_on_platform(path: &Path, check: bool) -> ExitCode {
     let settings = match HostSettings::load(path) {
         Ok(settings) => settings,
@@ -82,8 +82,8 @@
         eprintln!("{error}");
         return ExitCode::from(EXIT_START);
     }
-    // The hosts give a process a fifth of one core; threads would only take
-    // turns on it.
+    // Hosts limit a process to a fifth of a core, so several threads would only
+    // compete for it.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let outcome = match runtime {
         Ok(runtime) => runtime.block_on(run_hosted(settings, path.to_path_buf())),
@@ -94,7 +94,7 @@
     };
     match outcome {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(EXIT_CUT),
+        Ok(false) => ExitCode::from(EXIT_ABORTED),
         Err(error) => {
             eprintln!("{error}");
             ExitCode::from(EXIT_START)
@@ -116,12 +116,12 @@
             return ExitCode::from(EXIT_START);
         }
     };
-    // One line on standard output tells whoever started the process where it
-    // listens, also where the settings leave the port to the system.
+    // Print the addresses, as ports may be chosen by the system, so that the parent
+    // process can connect.
     println!("{}", process.addresses());
     wait_for_signal().await;
     match process.stop().await {
         true => ExitCode::SUCCESS,
-        false => ExitCode::from(EXIT_CUT),
+        false => ExitCode::from(EXIT_ABORTED),
     }
 }
--- a/crates/bilberryd/src/process.rs
+++ b/crates/bilberryd/src/process.rs
@@ -9,17 +9,17 @@
 use bilberry_node::Node;
 use tokio::task::JoinHandle;
 
-/// How often a stopping sidecar looks whether its work is done.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// The interval at which a stopping sidecar checks for requests in progress.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Where a process listens in fact, also where its settings say port zero.
+/// The addresses on which a process listens, with ports that the system has chosen.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
     /// For callers.
     pub callers: Option<SocketAddr>,
     /// For peers.
     pub peers: SocketAddr,
-    /// For metrics and health.
+    /// For metrics and health checks.
     pub operations: SocketAddr,
     /// For the administration API.
     pub administration: Option<SocketAddr>,
@@ -38,16 +38,16 @@
     }
 }
 
-/// What has to end before a process may.
-pub(crate) enum Work {
-    /// The servers and background work of an entry.
+/// The work that must end before a process exits.
+pub(crate) enum ActiveWork {
+    /// The servers and background tasks of an entry.
     Entry {
         callers: GracefulServer,
         administration: Option<GracefulServer>,
         finish: JoinHandle<()>,
         stop: tokio::sync::oneshot::Sender<()>,
     },
-    /// The requests of a sidecar.
+    /// The requests in progress in a sidecar.
     Sidecar { in_progress: Box<dyn Fn() -> usize + Send + Sync> },
 }
 
@@ -55,51 +55,51 @@
 pub struct Process {
     pub(crate) node: Arc<Node>,
     pub(crate) addresses: Addresses,
-    pub(crate) stop_wait: Duration,
-    pub(crate) work: Work,
+    pub(crate) stop_timeout: Duration,
+    pub(crate) work: ActiveWork,
     pub(crate) background: Vec<JoinHandle<()>>,
 }
 
 impl Process {
-    /// Returns where it listens.
+    /// Returns the addresses on which the process listens.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Returns the shared core.
+    /// Returns the state shared by all components.
     pub fn node(&self) -> &Arc<Node> {
         &self.node
     }
 
-    /// Stops in a planned way; returns false if requests had to be cut.
+    /// Shuts down gracefully; returns false if requests were aborted.
     pub async fn stop(self) -> bool {
         self.node.leave("planned stop");
-        log::info!("stopping; requests in progress are finished first");
-        let wait = self.stop_wait;
-        let whole = match self.work {
-            Work::Entry { callers, administration, finish, stop } => {
-                let whole = callers.stop(wait).await;
+        log::info!("stopping; waiting for requests in progress");
+        let stop_timeout = self.stop_timeout;
+        let all_completed = match self.work {
+            ActiveWork::Entry { callers, administration, finish, stop } => {
+                let all_completed = callers.stop(stop_timeout).await;
                 let _ = stop.send(());
-                let finished = tokio::time::timeout(wait, finish).await.is_ok();
+                let finished = tokio::time::timeout(stop_timeout, finish).await.is_ok();
                 if let Some(administration) = administration {
-                    administration.stop(LOOK_EVERY).await;
+                    administration.stop(POLL_INTERVAL).await;
                 }
-                whole && finished
+                all_completed && finished
             }
-            Work::Sidecar { in_progress } => {
+            ActiveWork::Sidecar { in_progress } => {
                 let drained = async {
                     while in_progress() > 0 {
-                        tokio::time::sleep(LOOK_EVERY).await;
+                        tokio::time::sleep(POLL_INTERVAL).await;
                     }
-                    // The last frames are still on their way out.
-                    tokio::time::sleep(LOOK_EVERY * 5).await;
+                    // Leave time for the last frames to be sent.
+                    tokio::time::sleep(POLL_INTERVAL * 5).await;
                 };
-                tokio::time::timeout(wait, drained).await.is_ok()
+                tokio::time::timeout(stop_timeout, drained).await.is_ok()
             }
         };
         for task in self.background {
             task.abort();
         }
-        whole
+        all_completed
     }
 }
--- a/crates/bilberryd/src/signals.rs
+++ b/crates/bilberryd/src/signals.rs
@@ -1,17 +1,17 @@
-//! Waiting for the signals that stop a process.
+//! Handling of the signals that stop or reload a process.
 
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// Calls `reload` at each hangup signal, for as long as the process runs.
+/// Calls `reload` on each hangup signal for the lifetime of the process.
 ///
-/// Unhandled, that signal ends the process: a settings file that changes would
-/// cut every request in progress.
+/// The default action of the signal ends the process, so without a handler a
+/// change of the settings file would abort all requests in progress.
 pub fn on_hangup(mut reload: impl FnMut() + Send + 'static) {
     let mut hangup = match signal(SignalKind::hangup()) {
         Ok(hangup) => hangup,
         Err(error) => {
-            log::warn!("hangup signals can't be handled: {error}");
+            log::warn!("failed to install the handler for hangup signals: {error}");
             return;
         }
     };
@@ -22,7 +22,7 @@
     });
 }
 
-/// Returns when the process is told to stop.
+/// Waits for a termination or interrupt signal.
 pub async fn wait_for_signal() {
     let (Ok(mut terminate), Ok(mut interrupt)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
--- a/crates/bilberryd/src/start.rs
+++ b/crates/bilberryd/src/start.rs
@@ -1,4 +1,4 @@
-//! Building a process from its settings.
+//! Starts a process from its settings.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,12 +35,12 @@
 
 use crate::Addresses;
 use crate::Process;
-use crate::process::Work;
+use crate::process::ActiveWork;
 
-/// How many connections the operations and administration addresses take.
-const OPERATORS_CONNECTIONS: usize = 64;
+/// The connection limit of the operations and administration servers.
+const MAX_OPERATOR_CONNECTIONS: usize = 64;
 
-/// What both roles are built from.
+/// The components that both roles need.
 struct Base {
     settings: Settings,
     node: Arc<Node>,
@@ -50,12 +50,12 @@
     operations: TcpListener,
 }
 
-/// Starts the process that the settings describe.
+/// Starts a process from its settings.
 pub async fn start(settings: Settings) -> Result<Process, StartError> {
     start_with(settings, Probing::new).await
 }
 
-/// Starts a process whose entry learns about upstreams in its own way.
+/// Starts a process whose entry uses the given source of upstream information.
 pub async fn start_with<K: Knowledge>(
     settings: Settings,
     knowledge: impl FnOnce(Links) -> K,
@@ -91,9 +91,9 @@
             HttpPlain::new(upstream.address),
         );
         sidecar.follow_upstream();
-        let counted = sidecar.clone();
-        let in_progress = Box::new(move || counted.in_progress());
-        Ok(self.run(sidecar, Work::Sidecar { in_progress }, None, None))
+        let counter = sidecar.clone();
+        let in_progress = Box::new(move || counter.in_progress());
+        Ok(self.run(sidecar, ActiveWork::Sidecar { in_progress }, None, None))
     }
 
     async fn start_entry<K: Knowledge>(
@@ -131,7 +131,7 @@
             admin_address = listener.local_addr().ok();
             let admins = self.settings.administrator.clone();
             let admin = Arc::new(Admin::new(entry.clone(), admins));
-            let http = HttpLimits { connections: OPERATORS_CONNECTIONS, ..http };
+            let http = HttpLimits { connections: MAX_OPERATOR_CONNECTIONS, ..http };
             administration = Some(GracefulServer::start(listener, http, admin));
         }
         let (stop, stopped) = tokio::sync::oneshot::channel();
@@ -140,15 +140,15 @@
             let _ = stopped.await;
             finishing.finish_tasks().await;
         });
-        let work = Work::Entry { callers, administration, finish, stop };
+        let work = ActiveWork::Entry { callers, administration, finish, stop };
         Ok(self.run(entry, work, callers_address, admin_address))
     }
 
-    /// Starts what both roles have in common.
+    /// Starts the servers and tasks that both roles have in common.
     fn run<H: PeerHandler + Readiness>(
         self,
         handler: Arc<H>,
-        work: Work,
+        work: ActiveWork,
         callers: Option<std::net::SocketAddr>,
         administration: Option<std::net::SocketAddr>,
     ) -> Process {
@@ -163,7 +163,7 @@
         let http = HttpLimits {
             header_bytes: limits.header_bytes,
             header_ms: limits.header_ms,
-            connections: OPERATORS_CONNECTIONS,
+            connections: MAX_OPERATOR_CONNECTIONS,
         };
         let operations = Arc::new(Operations::new(self.node.clone(), handler.clone()));
         let operations = GracefulServer::start(self.operations, http, operations);
@@ -180,13 +180,13 @@
             tokio::spawn(serve_peers(self.node.clone(), self.peers, handler)),
             tokio::spawn(register(self.node.clone(), self.platform)),
             tokio::spawn(async move {
-                // Kept here so that the operations address lives until the end.
+                // Keeps the operations server running until the process ends.
                 std::future::pending::<()>().await;
                 drop(operations);
             }),
         ];
-        let stop_wait = Duration::from_millis(limits.stop_ms);
-        Process { node: self.node, addresses, stop_wait, work, background }
+        let stop_timeout = Duration::from_millis(limits.stop_ms);
+        Process { node: self.node, addresses, stop_timeout, work, background }
     }
 }
 
--- a/crates/bilberryd/src/status.rs
+++ b/crates/bilberryd/src/status.rs
@@ -1,4 +1,4 @@
-//! Readiness and metrics of a process on the platform.
+//! Readiness and metrics endpoints of a platform-hosted process.
 
 use std::sync::Arc;
 
@@ -14,12 +14,12 @@
 use hyper::StatusCode;
 use hyper::body::Incoming;
 
-/// What a process says of itself.
+/// The status of a process.
 pub trait Status: Send + Sync + 'static {
-    /// Reports whether new callers should come here.
+    /// Returns whether the process accepts new callers.
     fn is_ready(&self) -> bool;
 
-    /// Returns all metrics as text.
+    /// Returns all metrics in text format.
     fn metrics(&self) -> String;
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Answers questions for readiness and metrics.
+/// Serves readiness checks and metrics.
 pub struct StatusPage<S> {
     /// The process.
     pub process: Arc<S>,
--- a/crates/bilberryd/tests/check.rs
+++ b/crates/bilberryd/tests/check.rs
@@ -1,11 +1,11 @@
-//! `bilberryd --check` on good and on bad settings.
+//! Validation of settings by `bilberryd`.
 
 use std::process::Command;
 
 use bilberry_config::Settings;
 
-/// Settings that are good.
-const GOOD: &str = r#"
+/// Valid settings.
+const VALID_SETTINGS: &str = r#"
 process = "entry-1"
 host = "host-1"
 role = "entry"
@@ -21,55 +21,57 @@
 call_ms = 500
 "#;
 
-fn refusal(text: &str) -> String {
-    Settings::parse("entry.toml", text).expect_err("the settings are bad").to_string()
+fn error_message(text: &str) -> String {
+    Settings::parse("entry.toml", text)
+        .expect_err("the settings should be invalid")
+        .to_string()
 }
 
 #[test]
-fn good_settings_are_taken() {
-    Settings::parse("entry.toml", GOOD).expect("the settings are good");
+fn valid_settings_are_accepted() {
+    Settings::parse("entry.toml", VALID_SETTINGS).expect("the settings should be valid");
 }
 
 #[test]
-fn an_unknown_key_is_refused_with_its_line() {
-    let text = GOOD.replace("call_ms = 500", "cal_ms = 500");
-    insta::assert_snapshot!(refusal(&text), @"entry.toml:14: unknown field `cal_ms`, expected one of `address`, `call_ms`, `watch_ms`; remove the key or correct its spelling");
+fn an_unknown_key_is_rejected_with_its_line() {
+    let text = VALID_SETTINGS.replace("call_ms = 500", "cal_ms = 500");
+    insta::assert_snapshot!(error_message(&text), @"entry.toml:14: unknown field `cal_ms`, expected one of `address`, `call_ms`, `watch_ms`; remove the key or correct its spelling");
 }
 
 #[test]
-fn a_wrong_unit_is_refused_with_the_right_key() {
-    let text = GOOD.replace("call_ms = 500", "call_s = 1");
-    insta::assert_snapshot!(refusal(&text), @"entry.toml:14: unknown field `call_s`, expected one of `address`, `call_ms`, `watch_ms`; the unit is part of the name: use `call_ms`");
+fn a_wrong_unit_is_rejected_with_the_correct_key() {
+    let text = VALID_SETTINGS.replace("call_ms = 500", "call_s = 1");
+    insta::assert_snapshot!(error_message(&text), @"entry.toml:14: unknown field `call_s`, expected one of `address`, `call_ms`, `watch_ms`; the unit is part of the name: use `call_ms`");
 }
 
 #[test]
-fn a_value_with_a_unit_is_refused() {
-    let text = GOOD.replace("call_ms = 500", "call_ms = \"1s\"");
-    insta::assert_snapshot!(refusal(&text), @r#"entry.toml:14: invalid type: string "1s", expected u64; write the value in the key's own type; units are in the key's name"#);
+fn a_value_with_a_unit_is_rejected() {
+    let text = VALID_SETTINGS.replace("call_ms = 500", "call_ms = \"1s\"");
+    insta::assert_snapshot!(error_message(&text), @r#"entry.toml:14: invalid type: string "1s", expected u64; write the value in the key's own type; units are in the key's name"#);
 }
 
 #[test]
-fn clashing_addresses_are_refused_with_both_keys() {
-    let text = GOOD.replace("127.0.0.1:7001", "127.0.0.1:8080");
-    insta::assert_snapshot!(refusal(&text), @"entry.toml: key `listen.peers`: clashes with `listen.callers`: both are 127.0.0.1:8080; give each its own port");
+fn duplicate_addresses_are_rejected_with_both_keys() {
+    let text = VALID_SETTINGS.replace("127.0.0.1:7001", "127.0.0.1:8080");
+    insta::assert_snapshot!(error_message(&text), @"entry.toml: key `listen.peers`: clashes with `listen.callers`: both are 127.0.0.1:8080; give each its own port");
 }
 
 #[test]
-fn a_missing_key_is_refused() {
-    let text = GOOD.replace("callers = \"127.0.0.1:8080\"", "");
-    insta::assert_snapshot!(refusal(&text), @"entry.toml: key `listen.callers`: is missing; give the address at which an entry takes requests");
+fn a_missing_key_is_rejected() {
+    let text = VALID_SETTINGS.replace("callers = \"127.0.0.1:8080\"", "");
+    insta::assert_snapshot!(error_message(&text), @"entry.toml: key `listen.callers`: is missing; give the address at which an entry takes requests");
 }
 
 #[test]
-fn a_sidecar_without_an_upstream_is_refused() {
-    let text = GOOD
+fn a_sidecar_without_an_upstream_is_rejected() {
+    let text = VALID_SETTINGS
         .replace("callers = \"127.0.0.1:8080\"", "")
         .replace("role = \"entry\"", "role = \"sidecar\"");
-    insta::assert_snapshot!(refusal(&text), @"entry.toml: key `upstream`: is missing; add a table with the `name` and `address` of the upstream");
+    insta::assert_snapshot!(error_message(&text), @"entry.toml: key `upstream`: is missing; add a table with the `name` and `address` of the upstream");
 }
 
 #[test]
-fn a_missing_file_ends_the_daemon_with_two() {
+fn a_missing_file_exits_with_code_two() {
     let output = Command::new(env!("CARGO_BIN_EXE_bilberryd"))
         .args(["--settings", "nowhere.toml"])
         .output()
