--- a/crates/bilberryctl/src/arguments.rs
+++ b/crates/bilberryctl/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The arguments of the tool.
+//! The command-line arguments.
 
 use std::path::PathBuf;
 
--- a/crates/bilberryctl/src/client.rs
+++ b/crates/bilberryctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the administration API.
+//! A client for the administration API.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -14,10 +14,10 @@
 use crate::arguments::Arguments;
 use crate::error::CtlError;
 
-/// The variable that may hold the token.
+/// The environment variable for the token.
 const TOKEN_VARIABLE: &str = "BILBERRY_TOKEN";
 
-/// A client of one entry.
+/// A client for the administration API of an entry.
 pub(crate) struct Client {
     address: String,
     token: String,
@@ -57,16 +57,16 @@
             .body(Full::new(body))
             .map_err(|error| CtlError::Usage(error.to_string()))?;
         let sent = self.http.request(request).await;
-        let answer = sent.map_err(|error| self.unreachable(&error))?;
-        let status = answer.status();
-        let body = answer.into_body().collect().await;
+        let response = sent.map_err(|error| self.unreachable(&error))?;
+        let status = response.status();
+        let body = response.into_body().collect().await;
         let body = body.map_err(|error| self.unreachable(&error))?.to_bytes();
         let value: Value = serde_json::from_slice(&body).unwrap_or_default();
         if status.is_success() {
             return Ok(value);
         }
-        let word = |name: &str| value["error"][name].as_str().unwrap_or("?").to_string();
-        let (code, message) = (word("code"), word("message"));
+        let field = |name: &str| value["error"][name].as_str().unwrap_or("?").to_string();
+        let (code, message) = (field("code"), field("message"));
         Err(CtlError::Refused { status: status.as_u16(), code, message })
     }
 
--- a/crates/bilberryctl/src/commands.rs
+++ b/crates/bilberryctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! The implementation of the commands.
 
 use std::path::PathBuf;
 
@@ -13,10 +13,10 @@
 use crate::client::Client;
 use crate::error::CtlError;
 use crate::explain::explain_logs;
-use crate::losses::losses_of_logs;
+use crate::losses::group_losses;
 use crate::table::table;
 
-/// Runs the command and returns what to print.
+/// Runs the command and returns its output.
 pub(crate) async fn run(arguments: &Arguments) -> Result<String, CtlError> {
     let client = Client::new(arguments);
     let Some(command) = &arguments.command else {
@@ -27,7 +27,7 @@
         Command::Status(_) => (client.get("/v1/status").await?, status_table),
         Command::Drain(drain) => {
             let path = format!("/v1/upstreams/{}/drain", drain.upstream);
-            (client.post(&path, &json!({})).await?, drained_text)
+            (client.post(&path, &json!({})).await?, format_drained)
         }
         Command::Timeline(timeline) => {
             let path = match &timeline.request {
@@ -45,17 +45,17 @@
                 return explain_logs(&files, request, arguments.json);
             }
             let path = format!("/v1/explain/{request}");
-            (client.get(&path).await?, explain_text)
+            (client.get(&path).await?, format_decisions)
         }
         Command::Losses(losses) => {
             if !losses.logs || losses.files.is_empty() {
                 let message = "losses needs --logs and the files".to_string();
                 return Err(CtlError::Usage(message));
             }
-            return losses_of_logs(&losses.files, losses.window, arguments.json);
+            return group_losses(&losses.files, losses.window, arguments.json);
         }
     };
-    Ok(print(arguments, &value, render))
+    Ok(format_output(arguments, &value, render))
 }
 
 async fn run_config(
@@ -81,7 +81,7 @@
         }
         "apply" => {
             let folder = folder_json(&config.folder)?;
-            (client.post("/v1/config/apply", &folder).await?, applied_text)
+            (client.post("/v1/config/apply", &folder).await?, format_applied)
         }
         "status" => (client.get("/v1/status").await?, revisions_table),
         "history" => (client.get("/v1/config/history").await?, history_table),
@@ -90,10 +90,14 @@
             return Err(CtlError::Usage(message));
         }
     };
-    Ok(print(arguments, &value, render))
+    Ok(format_output(arguments, &value, render))
 }
 
-fn print(arguments: &Arguments, value: &Value, render: fn(&Value) -> String) -> String {
+fn format_output(
+    arguments: &Arguments,
+    value: &Value,
+    render: fn(&Value) -> String,
+) -> String {
     match arguments.json {
         true => format!("{value}\n"),
         false => render(value),
@@ -156,7 +160,7 @@
     format!("against revision {revision}\n{changes}")
 }
 
-fn applied_text(value: &Value) -> String {
+fn format_applied(value: &Value) -> String {
     let revision = &value["revision"];
     match value["changes"].as_array().is_some_and(|changes| !changes.is_empty()) {
         true => format!("revision {revision} is accepted\n"),
@@ -164,13 +168,13 @@
     }
 }
 
-fn drained_text(value: &Value) -> String {
+fn format_drained(value: &Value) -> String {
     let upstream = cell(&value["upstream"]);
     format!("{upstream} takes no new work; {} in progress\n", value["in_progress"])
 }
 
-/// Shows each decision on a request as a table of what was weighed.
-fn explain_text(value: &Value) -> String {
+/// Formats each routing decision on a request as a table of the candidates.
+fn format_decisions(value: &Value) -> String {
     let events = value.as_array().map_or(&[][..], Vec::as_slice);
     let routed = events.iter().filter(|event| event["what"] == "routed");
     let mut text = String::new();
@@ -192,8 +196,8 @@
             detail["prompt_blocks"],
             detail["recompute_weight"],
             columns_table(&detail["answers"], &columns),
-            names_line("take no new work", &detail["unready"]),
-            names_line("did not answer in time", &detail["silent"]),
+            format_names("take no new work", &detail["unready"]),
+            format_names("did not answer in time", &detail["silent"]),
         ));
     }
     match text.is_empty() {
@@ -202,8 +206,8 @@
     }
 }
 
-/// Returns a line on upstreams that were asked in vain; nothing where there are none.
-fn names_line(what: &str, names: &Value) -> String {
+/// Returns a line that lists upstreams; empty if there are none.
+fn format_names(what: &str, names: &Value) -> String {
     let names: Vec<_> = names.as_array().into_iter().flatten().map(cell).collect();
     match names.is_empty() {
         true => String::new(),
--- a/crates/bilberryctl/src/error.rs
+++ b/crates/bilberryctl/src/error.rs
@@ -1,15 +1,15 @@
-//! Why the tool failed.
+//! The errors of the tool.
 
 use bilberry_config::ConfigError;
 use thiserror::Error;
 
-/// Why the tool failed.
+/// An error of the tool.
 #[derive(Debug, Error)]
 pub(crate) enum CtlError {
-    /// The arguments are wrong.
+    /// The arguments are invalid.
     #[error("{0}; see --help")]
     Usage(String),
-    /// The folder is wrong.
+    /// The configuration folder is invalid.
     #[error("{0}")]
     Config(#[from] ConfigError),
     /// A log file can't be read.
@@ -17,10 +17,10 @@
     Logs {
         /// The file.
         file: String,
-        /// What the system said.
+        /// The error of the operating system.
         reason: String,
     },
-    /// No line of the logs names the request.
+    /// The logs contain no line about the request.
     #[error(
         "no line names the request {0}; give the logs of all entries, and the id that the caller sent"
     )]
@@ -30,15 +30,15 @@
     Unreachable {
         /// The address.
         address: String,
-        /// What the system said.
+        /// The error of the HTTP client.
         reason: String,
     },
-    /// The entry refused.
+    /// The entry rejected the call.
     #[error("{message} ({code})")]
     Refused {
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// The stable word for the reason.
+        /// The error code.
         code: String,
         /// The reason and the remedy.
         message: String,
--- a/crates/bilberryctl/src/explain.rs
+++ b/crates/bilberryctl/src/explain.rs
@@ -1,4 +1,4 @@
-//! One request's time line, joined from the logs of many hosts.
+//! The timeline of a request, assembled from the logs of several hosts.
 
 use std::path::PathBuf;
 
@@ -10,20 +10,21 @@
 use crate::losses::cause;
 use crate::table::table;
 
-/// How long before a request arrived lines about its servers still matter.
+/// The time before a request's arrival from which lines about its servers are
+/// included.
 ///
-/// What an entry believes of a server is at most this old.
+/// An entry's information about a server is at most this old.
 const BEFORE_MS: u64 = 2_000;
 
-/// One moment of a request.
+/// An event of the timeline.
 #[derive(Debug, Serialize)]
-struct Moment {
+struct TimelineEvent {
     unix_ms: u64,
     process: String,
     what: String,
 }
 
-/// Reads log files and returns what happened to a request, and around it.
+/// Reads log files and returns the timeline of a request and related events.
 pub(crate) fn explain_logs(
     files: &[PathBuf],
     request: &str,
@@ -38,47 +39,47 @@
     if own.is_empty() {
         return Err(CtlError::NotLogged(request.to_string()));
     }
-    let mut moments: Vec<Moment> =
-        own.iter().flat_map(|line| own_moments(line)).collect();
+    let mut events: Vec<TimelineEvent> =
+        own.iter().flat_map(|line| outcome_events(line)).collect();
     for line in &own {
-        moments.extend(logs.lines.iter().filter_map(|other| around(line, other)));
+        events.extend(logs.lines.iter().filter_map(|other| related_event(line, other)));
     }
-    moments.sort_by(|a, b| {
+    events.sort_by(|a, b| {
         (a.unix_ms, &a.process, &a.what).cmp(&(b.unix_ms, &b.process, &b.what))
     });
-    moments.dedup_by(|a, b| (a.unix_ms, &a.what) == (b.unix_ms, &b.what));
+    events.dedup_by(|a, b| (a.unix_ms, &a.what) == (b.unix_ms, &b.what));
     if json {
-        let text = serde_json::to_string(&moments);
+        let text = serde_json::to_string(&events);
         return Ok(format!("{}\n", text.unwrap_or_default()));
     }
-    let first_ms = moments.first().map_or(0, |moment| moment.unix_ms);
-    let row = |moment: &Moment| {
+    let first_ms = events.first().map_or(0, |event| event.unix_ms);
+    let row = |event: &TimelineEvent| {
         vec![
-            format!("{:+.3}", (moment.unix_ms - first_ms) as f64 / 1_000.0),
-            moment.process.clone(),
-            moment.what.clone(),
+            format!("{:+.3}", (event.unix_ms - first_ms) as f64 / 1_000.0),
+            event.process.clone(),
+            event.what.clone(),
         ]
     };
-    let rows: Vec<_> = moments.iter().map(row).collect();
-    Ok(table(&["SECONDS", "PROCESS", "WHAT"], &rows) + &logs.complaint())
+    let rows: Vec<_> = events.iter().map(row).collect();
+    Ok(table(&["SECONDS", "PROCESS", "WHAT"], &rows) + &logs.unreadable_summary())
 }
 
-/// Returns what a request's own line says, moment by moment.
-fn own_moments(line: &LogLine) -> Vec<Moment> {
+/// Converts the outcome line of a request to timeline events.
+fn outcome_events(line: &LogLine) -> Vec<TimelineEvent> {
     let arrived_ms = line.unix_ms - line.number("total_ms").min(line.unix_ms);
-    let moment = |after_ms: u64, what: String| Moment {
+    let event = |after_ms: u64, what: String| TimelineEvent {
         unix_ms: arrived_ms + after_ms,
         process: line.process.clone(),
         what,
     };
-    let mut moments = vec![moment(0, format!("arrives on route {}", line.text("route")))];
+    let mut events = vec![event(0, format!("arrives on route {}", line.text("route")))];
     let waited_ms = line.number("waited_ms");
     if waited_ms > 0 {
         let for_parts_ms = line.number("waited_for_parts_ms");
         let what = format!(
             "has waited {waited_ms} ms for a server, {for_parts_ms} ms of it for parts that others read"
         );
-        moments.push(moment(waited_ms, what));
+        events.push(event(waited_ms, what));
     }
     if !line.text("tried").is_empty() {
         let what = format!(
@@ -88,7 +89,7 @@
             line.number("supplied_tokens"),
             line.number("shared_tokens"),
         );
-        moments.push(moment(waited_ms, what));
+        events.push(event(waited_ms, what));
     }
     let first_byte_ms = line.number("first_byte_ms");
     if first_byte_ms > 0 {
@@ -96,32 +97,32 @@
         let what = format!(
             "gets its first event, {first_byte_ms} ms after its arrival (target {target_ms})"
         );
-        moments.push(moment(first_byte_ms, what));
+        events.push(event(first_byte_ms, what));
     }
     let reason = cause(line).unwrap_or_else(|| "in time".to_string());
     let what = format!("ends: {} ({reason})", line.message);
-    moments.push(moment(line.number("total_ms"), what));
-    moments
+    events.push(event(line.number("total_ms"), what));
+    events
 }
 
-/// Returns what another line says, if it is about the request's servers or its entry
-/// at that time.
-fn around(own: &LogLine, other: &LogLine) -> Option<Moment> {
+/// Converts another line to a timeline event if it concerns the request's servers or
+/// its entry process during the request.
+fn related_event(own: &LogLine, other: &LogLine) -> Option<TimelineEvent> {
     let arrived_ms = own.unix_ms.saturating_sub(own.number("total_ms"));
-    let is_then =
+    let is_during_request =
         (arrived_ms.saturating_sub(BEFORE_MS)..=own.unix_ms).contains(&other.unix_ms);
     let upstream = other.text("upstream");
-    let is_about = match other.target.as_str() {
+    let is_related = match other.target.as_str() {
         "request" => false,
-        // A sidecar's lines don't name its engine; those on engines that went down or
-        // came back are few, and one of them may be the request's.
+        // Sidecars don't log the name of their engine. Lines about engine state are
+        // rare, so include all of them.
         "engine" => true,
         "upstream" | "sidecar" => {
             own.text("tried").split(',').any(|tried| tried == upstream)
         }
         _ => other.process == own.process,
     };
-    (is_then && is_about).then(|| Moment {
+    (is_during_request && is_related).then(|| TimelineEvent {
         unix_ms: other.unix_ms,
         process: other.process.clone(),
         what: format!("{} {} {}", other.target, upstream, other.message)
--- a/crates/bilberryctl/src/log_lines.rs
+++ b/crates/bilberryctl/src/log_lines.rs
@@ -1,4 +1,4 @@
-//! The JSON lines that the processes log.
+//! Reading of the processes' JSON log lines.
 
 use std::path::PathBuf;
 
@@ -8,35 +8,35 @@
 
 use crate::error::CtlError;
 
-/// The lines of some log files, in the order of their times.
+/// The lines of a set of log files, sorted by time.
 #[derive(Debug, Default)]
 pub(crate) struct Logs {
     pub lines: Vec<LogLine>,
-    /// What could not be read, as the file, the number of the line and the reason.
+    /// The lines that could not be parsed, as file, line number and reason.
     pub unreadable: Vec<String>,
 }
 
-/// One line of a log.
+/// A log line.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct LogLine {
-    /// When it was written, by its host's clock.
+    /// The time at which it was written, by its host's clock.
     pub unix_ms: u64,
     /// The process that wrote it.
     #[serde(default)]
     pub process: String,
-    /// What it is about.
+    /// The log target.
     #[serde(default)]
     pub target: String,
-    /// What happened.
+    /// The log message.
     #[serde(default)]
     pub message: String,
-    /// Everything else.
+    /// All other fields.
     #[serde(flatten)]
     pub fields: Map<String, Value>,
 }
 
 impl Logs {
-    /// Reads files; a line that can't be understood is left out and named.
+    /// Reads files; lines that can't be parsed are skipped and recorded.
     pub(crate) fn read(files: &[PathBuf]) -> Result<Self, CtlError> {
         let mut logs = Self::default();
         for file in files {
@@ -45,37 +45,37 @@
                 file: name.clone(),
                 reason: error.to_string(),
             })?;
-            // A process that is killed leaves half a character at times.
+            // A log can end in the middle of a character if the process was killed.
             let text = String::from_utf8_lossy(&bytes);
             for (number, line) in text.lines().enumerate() {
-                logs.take(&name, number + 1, line);
+                logs.add_line(&name, number + 1, line);
             }
         }
         logs.lines.sort_by_key(|line| line.unix_ms);
         Ok(logs)
     }
 
-    fn take(&mut self, file: &str, number: usize, text: &str) {
+    fn add_line(&mut self, file: &str, number: usize, text: &str) {
         if text.trim().is_empty() {
             return;
         }
-        // Collectors put times and hosts before the line itself.
-        let begin = text.find('{').unwrap_or_default();
-        match serde_json::from_str(&text[begin..]) {
+        // Log collectors may prefix lines with a time and a host.
+        let start = text.find('{').unwrap_or_default();
+        match serde_json::from_str(&text[start..]) {
             Ok(line) => self.lines.push(line),
             Err(error) => self.unreadable.push(format!("{file}:{number}: {error}")),
         }
     }
 
-    /// Says how many lines could not be read, and names the first ones.
-    pub(crate) fn complaint(&self) -> String {
-        const NAMED: usize = 3;
+    /// Returns the number of unparsable lines and the first of them.
+    pub(crate) fn unreadable_summary(&self) -> String {
+        const MAX_LISTED: usize = 3;
         if self.unreadable.is_empty() {
             return String::new();
         }
-        let named: Vec<&str> =
-            self.unreadable.iter().take(NAMED).map(String::as_str).collect();
-        format!("{} lines not read: {}\n", self.unreadable.len(), named.join("; "))
+        let listed: Vec<&str> =
+            self.unreadable.iter().take(MAX_LISTED).map(String::as_str).collect();
+        format!("{} lines not read: {}\n", self.unreadable.len(), listed.join("; "))
     }
 }
 
@@ -90,7 +90,7 @@
         self.fields.get(field).and_then(Value::as_u64).unwrap_or_default()
     }
 
-    /// Reports whether it says what became of a request.
+    /// Returns whether the line records the outcome of a request.
     pub(crate) fn is_outcome(&self) -> bool {
         self.target == "request"
     }
--- a/crates/bilberryctl/src/losses.rs
+++ b/crates/bilberryctl/src/losses.rs
@@ -1,4 +1,4 @@
-//! What was late, failed or refused, grouped by its cause.
+//! Groups late, failed and refused requests by cause.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -10,16 +10,16 @@
 use crate::log_lines::Logs;
 use crate::table::table;
 
-/// How many requests are named for each group.
-const NAMED: usize = 2;
+/// The maximum number of example requests per group.
+const MAX_EXAMPLES: usize = 2;
 
-/// How many groups a table shows.
-const ROWS: usize = 40;
+/// The maximum number of groups in a table.
+const MAX_ROWS: usize = 40;
 
-/// Requests that were lost in the same way.
+/// Requests of one time window with the same route, cause and server.
 #[derive(Debug, Serialize)]
 struct Group {
-    /// When the window begins, in seconds after the first line.
+    /// The start of the window, in seconds after the first log line.
     from_s: u64,
     route: String,
     cause: String,
@@ -28,8 +28,8 @@
     examples: Vec<String>,
 }
 
-/// Reads log files and groups what was lost.
-pub(crate) fn losses_of_logs(
+/// Reads log files and groups the late, failed and refused requests.
+pub(crate) fn group_losses(
     files: &[PathBuf],
     window_s: u64,
     json: bool,
@@ -50,16 +50,19 @@
             group.examples.join(" "),
         ]
     };
-    let rows: Vec<_> = groups.iter().take(ROWS).map(row).collect();
+    let rows: Vec<_> = groups.iter().take(MAX_ROWS).map(row).collect();
     let head = ["FROM_S", "REQUESTS", "ROUTE", "CAUSE", "SERVER", "SUCH AS"];
     let mut text = table(&head, &rows);
-    if groups.len() > ROWS {
-        text.push_str(&format!("{} more groups; --json has all\n", groups.len() - ROWS));
+    if groups.len() > MAX_ROWS {
+        text.push_str(&format!(
+            "{} more groups; --json has all\n",
+            groups.len() - MAX_ROWS
+        ));
     }
-    Ok(text + &logs.complaint())
+    Ok(text + &logs.unreadable_summary())
 }
 
-/// Groups lost requests, the largest group first.
+/// Groups late, failed and refused requests; the largest group comes first.
 fn groups(lines: &[LogLine], window_s: u64) -> Vec<Group> {
     let first_ms = lines.first().map_or(0, |line| line.unix_ms);
     let mut groups: BTreeMap<(u64, String, String, String), Group> = BTreeMap::new();
@@ -70,11 +73,11 @@
         let server =
             line.text("tried").rsplit(',').next().unwrap_or_default().to_string();
         let key = (from_s, route.clone(), cause.clone(), server.clone());
-        let fresh =
+        let new_group =
             || Group { from_s, route, cause, server, requests: 0, examples: Vec::new() };
-        let group = groups.entry(key).or_insert_with(fresh);
+        let group = groups.entry(key).or_insert_with(new_group);
         group.requests += 1;
-        if group.examples.len() < NAMED {
+        if group.examples.len() < MAX_EXAMPLES {
             group.examples.push(line.text("request").to_string());
         }
     }
@@ -83,7 +86,8 @@
     groups
 }
 
-/// Returns why a request was late, failed or refused; `None` if it was served in time.
+/// Returns the cause of a late, failed or refused request; `None` if it was served
+/// in time.
 pub(crate) fn cause(line: &LogLine) -> Option<String> {
     let detail = line.text("detail");
     let why = match detail {
--- a/crates/bilberryctl/src/main.rs
+++ b/crates/bilberryctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `bilberryctl`: the operators' command-line tool.
+//! `bilberryctl`, the command-line tool for operators.
 
 mod arguments;
 mod client;
--- a/crates/bilberryctl/src/table.rs
+++ b/crates/bilberryctl/src/table.rs
@@ -1,6 +1,6 @@
-//! Readable tables.
+//! Formatting of text tables.
 
-/// Lays rows out in columns as wide as their widest cell.
+/// Formats rows in columns that are as wide as their widest cell.
 pub(crate) fn table(head: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<_> = head.iter().map(|cell| cell.chars().count()).collect();
     for row in rows {
--- a/crates/bilberryctl/tests/logs.rs
+++ b/crates/bilberryctl/tests/logs.rs
@@ -1,9 +1,9 @@
-//! From log files of many hosts to causes.
+//! Tests of the commands that read log files of several hosts.
 
 use std::path::Path;
 use std::process::Command;
 
-/// Runs the tool on the logs beside this file and returns what it prints.
+/// Runs the tool in the directory of test logs and returns its output.
 fn run(arguments: &[&str]) -> String {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/logs");
     let output = Command::new(env!("CARGO_BIN_EXE_bilberryctl"))
@@ -16,16 +16,16 @@
 
 #[test]
 fn a_request_is_followed_through_the_logs_of_many_hosts() {
-    // A caller complains of a stream that broke off. One entry has its line; another
-    // host's line says that the engine went down, and a line is torn.
+    // The request's stream was interrupted: the outcome is in one entry's log, the
+    // engine failure in the log of another host. One line is truncated.
     let files = ["explain", "--logs", "entry-1.log", "entry-2.log", "side-1.log"];
     insta::assert_snapshot!(run(&[&files[..], &["a1"]].concat()));
 }
 
 #[test]
 fn late_failed_and_refused_requests_are_grouped_by_cause() {
-    // Callers of one route wait for room, of another for an engine that reads; what
-    // was served in time is in no group.
+    // Requests are late for several causes, such as waiting for capacity or for an
+    // engine that reads a shared part. Requests served in time must not appear.
     insta::assert_snapshot!(run(&["losses", "--logs", "entry-1.log", "entry-2.log"]));
 }
 
--- a/crates/bilberryctl/tests/usage.rs
+++ b/crates/bilberryctl/tests/usage.rs
@@ -1,4 +1,4 @@
-//! The tool's own messages and exit codes.
+//! Tests of the tool's messages and exit codes.
 
 use std::path::Path;
 use std::process::Command;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_examples_are_good() {
+fn the_examples_are_valid() {
     for folder in ["examples/hsinchu", "examples/gezeitenstrom"] {
         let output = run(&["config", "check", "--folder", folder]);
         assert!(output.status.success(), "{folder}: {output:?}");
@@ -22,21 +22,21 @@
 }
 
 #[test]
-fn a_missing_folder_ends_with_one() {
+fn a_missing_folder_exits_with_code_one() {
     let output = run(&["config", "check", "--folder", "nowhere"]);
     assert_eq!(output.status.code(), Some(1));
     insta::assert_snapshot!(String::from_utf8_lossy(&output.stderr), @"bilberryctl: nowhere: can't be read: No such file or directory (os error 2); give a folder that holds .toml files");
 }
 
 #[test]
-fn an_unknown_action_ends_with_two() {
+fn an_unknown_action_exits_with_code_two() {
     let output = run(&["config", "undo"]);
     assert_eq!(output.status.code(), Some(2));
     insta::assert_snapshot!(String::from_utf8_lossy(&output.stderr), @"bilberryctl: `config undo` is unknown; see --help");
 }
 
 #[test]
-fn an_entry_that_is_not_there_ends_with_three() {
+fn an_unreachable_entry_exits_with_code_three() {
     let output = run(&["--address", "127.0.0.1:1", "status"]);
     assert_eq!(output.status.code(), Some(3));
 }
