--- a/crates/bilberry-config/src/error.rs
+++ b/crates/bilberry-config/src/error.rs
@@ -10,7 +10,7 @@
     Unreadable {
         /// The settings file.
         file: String,
-        /// What the system said.
+        /// The error of the operating system.
         reason: String,
     },
     /// The text is not valid TOML, or a value has the wrong type.
@@ -34,7 +34,7 @@
         key: String,
         /// What is wrong.
         problem: String,
-        /// What to do.
+        /// How to fix it.
         remedy: String,
     },
 }
@@ -47,7 +47,7 @@
     Unreadable {
         /// The folder or file.
         path: String,
-        /// What the system said.
+        /// The error of the operating system.
         reason: String,
     },
     /// A piece is not valid TOML or has an unknown key.
@@ -59,7 +59,7 @@
         line: usize,
         /// What is wrong.
         problem: String,
-        /// What to do.
+        /// How to fix it.
         remedy: String,
     },
     /// Two pieces contain a definition of the same kind and name.
@@ -107,7 +107,7 @@
         key: &'static str,
         /// What is wrong.
         problem: &'static str,
-        /// What to do.
+        /// How to fix it.
         remedy: &'static str,
     },
     /// A piece is owned by a different business than the one that applies it.
--- a/crates/bilberry-node/src/config.rs
+++ b/crates/bilberry-node/src/config.rs
@@ -42,7 +42,7 @@
     pub parsed: Arc<ParsedPiece>,
 }
 
-/// An error on install_lock a revision.
+/// An error on installing a revision.
 #[derive(Debug, Error)]
 pub enum InstallError {
     /// The head can't be parsed.
--- a/crates/bilberry-node/src/members.rs
+++ b/crates/bilberry-node/src/members.rs
@@ -81,8 +81,8 @@
         self.replace_if_changed(&current, by_process)
     }
 
-    /// Removes the members for which `keep` returns false; returns whether anything
-    /// changed.
+    /// Removes the members for which `keep` returns false, as their registration is
+    /// gone from the platform; returns whether anything changed.
     pub fn retain(&self, keep: impl Fn(&Member) -> bool) -> bool {
         let _guard = self.change_lock.lock().unwrap();
         let current = self.current.load_full();
--- a/crates/bilberry-platform/src/http.rs
+++ b/crates/bilberry-platform/src/http.rs
@@ -57,7 +57,7 @@
     health: Mutex<Health>,
 }
 
-/// The circuit breaker and the number of consecutive consecutive_failures.
+/// The circuit breaker and the number of consecutive failures.
 #[derive(Debug, Default)]
 struct Health {
     breaker: Breaker,
--- a/crates/bilberry-platform/src/port.rs
+++ b/crates/bilberry-platform/src/port.rs
@@ -63,9 +63,9 @@
 
 /// Performs a conditional write and reads the object back unless it succeeded.
 ///
-/// If the response to an applied write is lost, a retry fails with a conflict that
-/// the writer itself has caused. `is_ours` must identify the writer's value by a
-/// token that no other writer uses.
+/// If the response to an applied write is lost, a retry fails with a conflict, and
+/// the writer would mistake its own value for another writer's. `is_ours` must
+/// identify the writer's value by a token that no other writer uses.
 pub async fn settle<P: Platform>(
     platform: &P,
     key: &str,
--- a/crates/bilberryctl/tests/logs.rs
+++ b/crates/bilberryctl/tests/logs.rs
@@ -36,11 +36,11 @@
 }
 
 #[test]
-fn a_request_that_no_line_names_is_said_so() {
+fn a_request_missing_from_the_logs_is_reported() {
     insta::assert_snapshot!(run(&["explain", "--logs", "entry-1.log", "b9"]), @"bilberryctl: no line names the request b9; give the logs of all entries, and the id that the caller sent");
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
+fn a_missing_log_file_is_reported() {
     insta::assert_snapshot!(run(&["losses", "--logs", "none.log"]), @"bilberryctl: none.log: can't be read: No such file or directory (os error 2); name log files that exist");
 }
