--- a/crates/bilberryctl/tests/logs.rs
+++ b/crates/bilberryctl/tests/logs.rs
@@ -1,9 +1,9 @@
-//! From log files of many hosts to causes.
+//! Tests of the commands that read log files of several hosts.
 
 use std::path::Path;
 use std::process::Command;
 
-/// Runs the tool on the logs beside this file and returns what it prints.
+/// Runs the tool in the directory of test logs and returns its output.
 fn run(arguments: &[&str]) -> String {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/logs");
     let output = Command::new(env!("CARGO_BIN_EXE_bilberryctl"))
@@ -16,16 +16,16 @@
 
 #[test]
 fn a_request_is_followed_through_the_logs_of_many_hosts() {
-    // A caller complains of a stream that broke off. One entry has its line; another
-    // host's line says that the engine went down, and a line is torn.
+    // The request's stream was interrupted: the outcome is in one entry's log, the
+    // engine failure in the log of another host. One line is truncated.
     let files = ["explain", "--logs", "entry-1.log", "entry-2.log", "side-1.log"];
     insta::assert_snapshot!(run(&[&files[..], &["a1"]].concat()));
 }
 
 #[test]
 fn late_failed_and_refused_requests_are_grouped_by_cause() {
-    // Callers of one route wait for room, of another for an engine that reads; what
-    // was served in time is in no group.
+    // Requests are late for several causes, such as waiting for capacity or for an
+    // engine that reads a shared part. Requests served in time must not appear.
     insta::assert_snapshot!(run(&["losses", "--logs", "entry-1.log", "entry-2.log"]));
 }
 
@@ -36,11 +36,11 @@
 }
 
 #[test]
-fn a_request_that_no_line_names_is_said_so() {
+fn a_request_missing_from_the_logs_is_reported() {
     insta::assert_snapshot!(run(&["explain", "--logs", "entry-1.log", "b9"]), @"bilberryctl: no line names the request b9; give the logs of all entries, and the id that the caller sent");
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
+fn a_missing_log_file_is_reported() {
     insta::assert_snapshot!(run(&["losses", "--logs", "none.log"]), @"bilberryctl: none.log: can't be read: No such file or directory (os error 2); name log files that exist");
 }
