--- a/crates/bilberry-entry/src/auth.rs
+++ b/crates/bilberry-entry/src/auth.rs
@@ -1,4 +1,4 @@
-//! Who a caller is.
+//! Authentication of callers.
 
 use std::sync::Arc;
 
@@ -11,18 +11,18 @@
 use crate::ApiError;
 use crate::ErrorKind;
 
-/// Returns the secret of a bearer authorisation.
+/// Returns the bearer token of a request.
 pub(crate) fn bearer(headers: &HeaderMap) -> Option<&str> {
     let value = headers.get(AUTHORIZATION)?.to_str().ok()?;
     value.strip_prefix("Bearer ").map(str::trim).filter(|secret| !secret.is_empty())
 }
 
-/// Returns the hash under which a secret is known.
+/// Returns the hash by which the configuration identifies a secret.
 pub(crate) fn hash_secret(secret: &str) -> String {
     blake3::hash(secret.as_bytes()).to_hex().to_string()
 }
 
-/// Returns the customer whose key the caller shows.
+/// Returns the customer to which the API key of the request belongs.
 pub(crate) fn authenticate(
     compiled: &Compiled,
     headers: &HeaderMap,
@@ -32,8 +32,8 @@
     let key = bearer(headers).ok_or_else(|| {
         refuse("missing_api_key", "no API key; send `Authorization: Bearer KEY`")
     })?;
-    // Keys are looked up by hash: the time of a look-up tells nothing about keys,
-    // and the configuration holds none.
+    // Keys are looked up by hash, so that lookup times reveal nothing about keys and
+    // the configuration contains none.
     compiled.by_key_hash.get(&KeyHash::of(key)).cloned().ok_or_else(|| {
         refuse("invalid_api_key", "the API key is unknown; ask the operators for one")
     })
--- a/crates/bilberry-entry/src/claims.rs
+++ b/crates/bilberry-entry/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on non-idempotent calls, kept in the platform's object API.
+//! Claims on non-idempotent calls, stored in the platform's object API.
 
 use std::time::Duration;
 
@@ -14,54 +14,54 @@
 use bilberry_platform::Settled;
 use bilberry_platform::settle;
 
-/// Where claims stand.
+/// The key prefix of claim objects.
 const CLAIMS_PREFIX: &str = "claims/";
 
-/// How often a write that must not be lost is tried again.
-const MOST_TRIES: u32 = 30;
+/// The maximum number of retries of a background write.
+const MAX_RETRIES: u32 = 30;
 
-/// The first pause between tries.
-const BASE_PAUSE_MS: u64 = 100;
+/// The initial delay between retries.
+const BASE_DELAY_MS: u64 = 100;
 
-/// The longest pause between tries.
-const MOST_PAUSE_MS: u64 = 10_000;
+/// The maximum delay between retries.
+const MAX_DELAY_MS: u64 = 10_000;
 
-/// Claims in the platform's object API.
+/// Stores claims in the platform's object API.
 #[derive(Debug, Clone)]
 pub struct Claims<P> {
     platform: P,
 }
 
-/// How an attempt to claim a key came out.
+/// The result of an attempt to claim a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The claim is ours, at this version.
-    Held(u64),
-    /// Somebody claimed the key before.
-    Met(RepeatVerdict),
+    /// The claim was acquired and is stored at this object version.
+    Acquired(u64),
+    /// The key was claimed before.
+    Existing(RepeatVerdict),
 }
 
 impl<P: Platform> Claims<P> {
-    /// Creates the adapter.
+    /// Creates a claim store on the given platform.
     pub fn new(platform: P) -> Self {
         Self { platform }
     }
 
-    /// Returns the key of the object for a caller's key.
+    /// Returns the object key for the idempotency key of a caller.
     pub fn object_key(service: &str, customer: &str, key: &str) -> String {
         let mut hasher = blake3::Hasher::new();
         for part in [service, customer, key] {
-            // The length keeps parts apart that would run together otherwise.
+            // The length prefix makes the concatenation of the parts unambiguous.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part.as_bytes());
         }
         format!("{CLAIMS_PREFIX}{}", hasher.finalize().to_hex())
     }
 
-    /// Claims a key, or tells what stands in the way.
+    /// Claims a key, or returns a verdict on the existing claim.
     ///
-    /// The object is created only where none stands, so of two entries that were
-    /// sent one key at the same moment a single one gets it.
+    /// The object is created only if it does not exist, so only one of several
+    /// entries that receive the same key concurrently acquires it.
     pub async fn claim(
         &self,
         key: &str,
@@ -69,25 +69,25 @@
     ) -> Result<ClaimOutcome, PlatformError> {
         let mut expected = 0;
         loop {
-            let met = match self.write(key, claim, expected).await? {
-                Settled::Written(version) => return Ok(ClaimOutcome::Held(version)),
+            let existing = match self.write(key, claim, expected).await? {
+                Settled::Written(version) => return Ok(ClaimOutcome::Acquired(version)),
                 Settled::Lost(object) => object,
             };
             let now = SystemClock.now();
-            let verdict = match parse(&met) {
+            let verdict = match parse(&existing) {
                 Some(other) => other.judge(&claim.attempt, &claim.request_hash, now),
                 None => RepeatVerdict::Unclear,
             };
             match verdict {
-                // A call that was refused before it ran frees its key; the
-                // conditional update lets one of several repeats have it.
-                RepeatVerdict::Reclaim => expected = met.version,
-                verdict => return Ok(ClaimOutcome::Met(verdict)),
+                // The earlier call was rejected before it ran, so its key is free.
+                // The conditional update lets only one of several repeats claim it.
+                RepeatVerdict::Reclaim => expected = existing.version,
+                verdict => return Ok(ClaimOutcome::Existing(verdict)),
             }
         }
     }
 
-    /// Records how a claimed call came out.
+    /// Records the outcome of a claimed call.
     pub async fn record(
         &self,
         key: &str,
@@ -97,35 +97,38 @@
         self.write(key, claim, version).await.map(|_| ())
     }
 
-    /// Records an outcome for as long as it takes, within bounds.
+    /// Records an outcome, with a bounded number of retries.
     ///
-    /// The platform may be down for long just after the call ran. Without the
-    /// record a repeated key is told only that the call may have run.
-    pub async fn record_later(self, key: String, claim: Claim, version: u64) {
-        for try_number in 0..MOST_TRIES {
-            pause(try_number).await;
+    /// The platform may be down for a long time just after the call ran. Without the
+    /// record, a repeat of the key can only be told that the call may have run.
+    pub async fn record_with_retries(self, key: String, claim: Claim, version: u64) {
+        for retry in 0..MAX_RETRIES {
+            back_off(retry).await;
             if self.record(&key, &claim, version).await.is_ok() {
                 return;
             }
         }
-        log::warn!("the outcome of {key} could not be recorded; its key stays unclear");
+        log::warn!(
+            "failed to record the outcome of {key}; repeats of the key get no answer"
+        );
     }
 
-    /// Frees a key whose claim may or may not have been written.
-    pub async fn release_later(self, key: String, claim: Claim) {
-        for try_number in 0..MOST_TRIES {
-            pause(try_number).await;
+    /// Releases a key whose claim may have been written, with a bounded number of
+    /// retries.
+    pub async fn release_with_retries(self, key: String, claim: Claim) {
+        for retry in 0..MAX_RETRIES {
+            back_off(retry).await;
             let Ok(found) = self.platform.read(&key).await else { continue };
-            let ours = found
+            let own_claim = found
                 .as_ref()
                 .and_then(|object| Some((object.version, parse(object)?)))
                 .filter(|(_, found)| found.attempt == claim.attempt);
-            let freed = Claim { state: ClaimState::NotRun, ..claim.clone() };
-            match ours {
-                // A write whose answer was lost may still be on its way.
+            let released = Claim { state: ClaimState::NotRun, ..claim.clone() };
+            match own_claim {
+                // A write whose response was lost may still be in flight.
                 None => continue,
                 Some((version, _)) => {
-                    if self.record(&key, &freed, version).await.is_ok() {
+                    if self.record(&key, &released, version).await.is_ok() {
                         return;
                     }
                 }
@@ -139,8 +142,8 @@
         claim: &Claim,
         expected: u64,
     ) -> Result<Settled, PlatformError> {
-        let value = serde_json::to_string(claim).expect("our own types serialise");
-        // The attempt's token and its state tell our write from any other.
+        let value = serde_json::to_string(claim).expect("a claim is serializable");
+        // The attempt token and the state identify this write.
         let is_ours = |found: &str| found == value;
         settle(&self.platform, key, &value, expected, is_ours).await
     }
@@ -150,8 +153,8 @@
     serde_json::from_str(object.value.as_deref()?).ok()
 }
 
-async fn pause(try_number: u32) {
+async fn back_off(retry: u32) {
     let unit = rand::random_range(0.5..1.0);
-    let pause_ms = backoff_ms(try_number, BASE_PAUSE_MS, MOST_PAUSE_MS, unit);
-    tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+    let delay_ms = backoff_ms(retry, BASE_DELAY_MS, MAX_DELAY_MS, unit);
+    tokio::time::sleep(Duration::from_millis(delay_ms)).await;
 }
--- a/crates/bilberry-entry/src/collect.rs
+++ b/crates/bilberry-entry/src/collect.rs
@@ -18,7 +18,7 @@
 use crate::Question;
 
 /// The maximum extension of a wait for late answers.
-const LAST_WAIT: Duration = Duration::from_millis(50);
+const MAX_EXTENSION: Duration = Duration::from_millis(50);
 
 /// The maximum overrun attributed to timers (resolution: 1 ms) rather than to a stall.
 const TIMER_TOLERANCE: Duration = Duration::from_millis(4);
@@ -92,6 +92,6 @@
 fn patience(answers: &[Answered], question: &Question<'_>) -> Duration {
     let blocks = question.chains.values().map(Chain::len).max().unwrap_or(0) as u64;
     let views: Vec<_> = answers.iter().map(|answer| answer.view.clone()).collect();
-    let most_ms = LAST_WAIT.as_secs_f64() * 1e3;
-    Duration::from_secs_f64(patience_ms(&views, blocks, most_ms) / 1e3)
+    let max_ms = MAX_EXTENSION.as_secs_f64() * 1e3;
+    Duration::from_secs_f64(patience_ms(&views, blocks, max_ms) / 1e3)
 }
--- a/crates/bilberry-entry/src/entry.rs
+++ b/crates/bilberry-entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! The entry and what its parts share.
+//! The entry and the state shared by its request handlers.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -33,29 +33,29 @@
 use crate::Router;
 use crate::auth::authenticate;
 
-/// The header in which a caller bounds the time of its request.
+/// The header that sets the deadline of a request, in milliseconds from its arrival.
 const DEADLINE_HEADER: &str = "x-deadline-ms";
 
-/// The longest time that a caller may allow.
-const MOST_DEADLINE_MS: u64 = 3_600_000;
+/// The maximum value of the deadline header.
+const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// When a customer over its concurrency is asked back.
-const CONCURRENCY_WAIT_MS: u64 = 1_000;
+/// The base of the retry delay for a customer that exceeds its concurrency limit.
+const CONCURRENCY_RETRY_AFTER_MS: u64 = 1_000;
 
-/// The bounds of an entry on its callers.
+/// The limits that an entry enforces on callers, and its probe timeout.
 #[derive(Debug, Clone, Copy)]
 pub struct EntryLimits {
-    /// The largest body of a request.
+    /// The maximum size of a request body.
     pub body_bytes: usize,
-    /// How long a caller may take to send its body.
+    /// The maximum time for receiving a request body.
     pub body_ms: u64,
-    /// How long a caller may leave its stream unread.
+    /// The maximum time that a write to a stream may block on a slow caller.
     pub unread_ms: u64,
-    /// How long the answers to a probe are waited for.
+    /// The time to wait for probe answers.
     pub probe_ms: u64,
 }
 
-/// The process between callers and sidecars.
+/// Accepts requests from callers and dispatches them to sidecars.
 #[derive(Debug)]
 pub struct Entry<P, K> {
     pub(crate) node: Arc<Node>,
@@ -64,13 +64,13 @@
     pub(crate) router: Router<K>,
     pub(crate) claims: Claims<P>,
     pub(crate) limits: EntryLimits,
-    pub(crate) retries: Mutex<RetryBudget>,
+    pub(crate) retry_budget: Mutex<RetryBudget>,
     pub(crate) tasks: TaskTracker,
     customers: Mutex<CustomerLimits>,
 }
 
 impl<P: Platform, K: Knowledge> Entry<P, K> {
-    /// Creates an entry at `place`.
+    /// Creates an entry located at `place`.
     pub fn new(
         node: Arc<Node>,
         links: Links,
@@ -87,19 +87,19 @@
             platform,
             router,
             limits,
-            retries: Mutex::new(RetryBudget::new()),
+            retry_budget: Mutex::new(RetryBudget::new()),
             tasks: TaskTracker::new(),
             customers: Mutex::default(),
         })
     }
 
-    /// Waits for work that goes on after its caller was answered.
+    /// Waits for background tasks, which can outlive the response to their caller.
     pub async fn finish_tasks(&self) {
         self.tasks.close();
         self.tasks.wait().await;
     }
 
-    /// Takes a request in, if its key and its customer's limits allow.
+    /// Authenticates a request and applies the limits of its customer.
     pub(crate) fn admit(
         self: &Arc<Self>,
         headers: &HeaderMap,
@@ -120,9 +120,9 @@
         let entries = roles.filter(|role| *role == Role::Entry).count();
         let allowance =
             Allowance::share(customer.rate_per_s, customer.concurrency, entries);
-        let entered =
+        let admission =
             self.customers.lock().unwrap().enter(&customer.name, allowance, now);
-        entered.map_err(over_limit)?;
+        admission.map_err(limit_error)?;
         Ok(Admitted {
             entry: self.clone(),
             compiled,
@@ -133,7 +133,7 @@
     }
 }
 
-/// A request that was taken in; dropping it gives back the customer's place.
+/// An admitted request; dropping it releases the customer's concurrency slot.
 #[derive(Debug)]
 pub(crate) struct Admitted<P: Platform, K: Knowledge> {
     entry: Arc<Entry<P, K>>,
@@ -188,19 +188,19 @@
     let Some(value) = headers.get(DEADLINE_HEADER) else {
         return Ok(now.plus_ms(customer.deadline_ms));
     };
-    let given = value.to_str().ok().and_then(|text| text.parse::<u64>().ok());
-    match given {
-        Some(ms @ 1..=MOST_DEADLINE_MS) => Ok(now.plus_ms(ms)),
+    let deadline_ms = value.to_str().ok().and_then(|text| text.parse::<u64>().ok());
+    match deadline_ms {
+        Some(ms @ 1..=MAX_DEADLINE_MS) => Ok(now.plus_ms(ms)),
         _ => {
             let message = format!(
-                "`{DEADLINE_HEADER}` must be a whole number in 1 to {MOST_DEADLINE_MS}"
+                "`{DEADLINE_HEADER}` must be a whole number in 1 to {MAX_DEADLINE_MS}"
             );
             Err(ApiError::not_run(ErrorKind::Invalid, "invalid_deadline", message))
         }
     }
 }
 
-fn over_limit(overrun: Overrun) -> ApiError {
+fn limit_error(overrun: Overrun) -> ApiError {
     let (code, message, wait_ms) = match overrun {
         Overrun::Rate { wait_ms } => (
             "rate_limited",
@@ -210,7 +210,7 @@
         Overrun::Concurrency => (
             "too_many_in_progress",
             "too many of your requests are in progress; wait for one to end",
-            CONCURRENCY_WAIT_MS,
+            CONCURRENCY_RETRY_AFTER_MS,
         ),
     };
     ApiError::not_run(ErrorKind::RateLimited, code, message)
--- a/crates/bilberry-entry/src/explain.rs
+++ b/crates/bilberry-entry/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why a request went where it went.
+//! Records of routing decisions.
 
 use bilberry_core::Name;
 use bilberry_core::Weighing;
@@ -8,54 +8,54 @@
 use crate::Answered;
 use crate::Target;
 
-/// The decision on one request.
+/// The routing decision for one request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Explained {
-    /// The upstream that was chosen; none if no asked one took new work.
+    /// The selected upstream; `None` if no probed upstream accepted new requests.
     pub chosen: Option<Name>,
-    /// The blocks of the prompt.
+    /// The number of blocks in the prompt.
     pub prompt_blocks: u64,
-    /// The worth of a recomputed against a waited millisecond.
+    /// The cost of a millisecond of recomputation relative to a millisecond of waiting.
     pub recompute_weight: f64,
-    /// Those that answered and take new work, with their scores.
+    /// The answers of upstreams that accept new requests, with their scores.
     pub answers: Vec<ExplainedAnswer>,
-    /// Those that answered that they take no new work.
+    /// The upstreams that answered but accept no new requests.
     pub unready: Vec<Name>,
-    /// Those that were asked and did not answer in time.
+    /// The upstreams that did not answer in time.
     pub silent: Vec<Name>,
 }
 
-/// One answer that was weighed.
+/// The scored answer of one upstream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ExplainedAnswer {
     /// The upstream.
     pub upstream: Name,
-    /// Whether the prompt's ranks lead to it, so that every entry asks it.
+    /// Whether the upstream was ranked by the prompt and is thus probed by every entry.
     pub is_ranked: bool,
-    /// The blocks that it held.
+    /// The number of prompt blocks cached at the upstream.
     pub held_blocks: u64,
-    /// The wait before the prefill.
+    /// The estimated wait before the prefill.
     pub wait_ms: f64,
-    /// How long one prompt token takes there.
+    /// The estimated prefill time per prompt token.
     pub prefill_us_per_token: f64,
-    /// The score; the smallest wins.
+    /// The score; the lowest one is selected.
     pub score_ms: f64,
 }
 
 impl Explained {
-    /// Notes a decision among those that were `asked`.
+    /// Creates the record of a decision among the `probed` upstreams.
     pub fn new(
-        asked: &[Target],
+        probed: &[Target],
         answers: &[Answered],
         prompt_blocks: u64,
         weighing: Weighing,
         chosen: Option<usize>,
     ) -> Self {
-        let name = |at: usize| asked[at].upstream.clone();
+        let name = |at: usize| probed[at].upstream.clone();
         let (ready, unready): (Vec<_>, Vec<_>) =
             answers.iter().partition(|answer| answer.is_ready());
         let is_silent = |at: &usize| !answers.iter().any(|answer| answer.target == *at);
-        let weighed = ready.iter().map(|Answered { view, .. }| ExplainedAnswer {
+        let scored = ready.iter().map(|Answered { view, .. }| ExplainedAnswer {
             upstream: view.upstream.clone(),
             is_ranked: view.is_ranked,
             held_blocks: view.held_blocks,
@@ -67,13 +67,13 @@
             chosen: chosen.map(name),
             prompt_blocks,
             recompute_weight: weighing.recompute_weight,
-            answers: weighed.collect(),
+            answers: scored.collect(),
             unready: unready.iter().map(|answer| name(answer.target)).collect(),
-            silent: (0..asked.len()).filter(is_silent).map(name).collect(),
+            silent: (0..probed.len()).filter(is_silent).map(name).collect(),
         }
     }
 
-    /// Returns the decision as the detail of an event.
+    /// Serializes the decision for the detail of an event.
     pub fn detail(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
--- a/crates/bilberry-entry/src/knowledge.rs
+++ b/crates/bilberry-entry/src/knowledge.rs
@@ -1,5 +1,5 @@
-//! The port through which the router learns about upstreams, and the adapter
-//! that asks their sidecars.
+//! The interface through which the router queries the state of upstreams, and its
+//! implementation by probes to their sidecars.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -19,66 +19,66 @@
 
 use crate::collect_answers;
 
-/// One upstream to be asked.
+/// An upstream to be probed.
 #[derive(Debug, Clone)]
 pub struct Target {
     /// The upstream.
     pub upstream: Name,
-    /// Where its sidecar is reached.
+    /// The address of its sidecar.
     pub address: SocketAddr,
-    /// The estimated round trip.
+    /// The estimated round-trip time.
     pub distance_ms: u64,
-    /// Whether the prompt's ranks lead to it; taken as such until they are known.
+    /// Whether the upstream was ranked by the prompt; true until the ranks are computed.
     pub is_ranked: bool,
-    /// The weights that it ran when it was heard of last.
+    /// The weights that it last reported.
     pub weights: Name,
 }
 
-/// What is to be known.
+/// The parameters of a probe.
 #[derive(Debug)]
 pub struct Question<'a> {
     /// The customer.
     pub customer: &'a Name,
     /// The customer's priority.
     pub priority: u8,
-    /// The prompt; empty for a plain call.
+    /// The prompt; empty for a call to a plain service.
     pub prompt: &'a str,
-    /// The prompt's chain for each of the weights that targets run.
+    /// The block chain of the prompt for all weights that the targets run.
     pub chains: &'a HashMap<Name, Chain>,
-    /// The scope of the request on the configured weights.
+    /// The cache scope of the request on the configured weights.
     pub scope: &'a Scope,
-    /// Until when answers are of use.
+    /// The time to wait for answers.
     pub wait: Duration,
 }
 
 /// The answer of one upstream.
 #[derive(Debug, Clone)]
 pub struct Answered {
-    /// The position among the targets.
+    /// The index of the target.
     pub target: usize,
-    /// What it holds and how busy it is.
+    /// The cached blocks and the load of the upstream.
     pub view: ProbeView,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub readiness: Readiness,
     /// The weights that it runs.
     pub weights: Name,
 }
 
 impl Answered {
-    /// Reports whether the upstream takes new work.
+    /// Returns whether the upstream accepts new requests.
     pub fn is_ready(&self) -> bool {
         self.readiness == Readiness::Ready
     }
 }
 
-/// A source of knowledge about upstreams.
+/// A source of the current state of upstreams.
 pub trait Knowledge: Send + Sync + 'static {
-    /// Whether all upstreams are asked, and not only the likely ones.
+    /// Whether all upstreams are queried instead of the most likely candidates.
     ///
-    /// Only a bound for experiments can afford that.
+    /// This is too expensive outside of experiments that determine an upper bound.
     const ASKS_ALL: bool = false;
 
-    /// Asks the targets; those that don't answer in time are left out.
+    /// Queries the targets; the result omits those that do not answer in time.
     fn ask(
         &self,
         targets: &[Target],
@@ -86,14 +86,14 @@
     ) -> impl Future<Output = Vec<Answered>> + Send;
 }
 
-/// Asks the sidecars of the targets, all at once.
+/// Probes the sidecars of all targets concurrently.
 #[derive(Debug, Clone)]
 pub struct Probing {
     links: Links,
 }
 
 impl Probing {
-    /// Creates the adapter.
+    /// Creates a prober that uses the given links.
     pub fn new(links: Links) -> Self {
         Self { links }
     }
@@ -121,18 +121,18 @@
 
 impl Knowledge for Probing {
     async fn ask(&self, targets: &[Target], question: &Question<'_>) -> Vec<Answered> {
-        let asking: FuturesUnordered<_> = targets
+        let probes: FuturesUnordered<_> = targets
             .iter()
             .enumerate()
             .map(|(at, target)| self.probe(at, target, question))
             .collect();
-        collect_answers(asking, question).await
+        collect_answers(probes, question).await
     }
 }
 
 fn answered(at: usize, target: &Target, answer: &ProbeAnswer) -> Answered {
     let weights = Name::from(answer.weights.as_str());
-    // The fingerprints were made for other weights: nothing held counts.
+    // The fingerprints were computed for other weights, so no reported block matches.
     let held_blocks = match weights == target.weights {
         true => u64::from(answer.held_blocks),
         false => 0,
--- a/crates/bilberry-entry/src/lib.rs
+++ b/crates/bilberry-entry/src/lib.rs
@@ -1,7 +1,8 @@
-//! The entry role: takes callers' requests, decides where each goes, and gives
-//! each caller its whole answer.
+//! The entry role: accepts requests from callers, routes each to an upstream and
+//! returns the complete response.
 //!
-//! An entry holds no state that matters. Any number of them are alike.
+//! Entries keep no durable state, so any number of them can run side by side and
+//! are interchangeable.
 
 mod admin;
 mod admin_config;
@@ -44,5 +45,5 @@
 pub use request::CompletionRequest;
 pub use request::CompletionStyle;
 pub use router::Choice;
-pub use router::RouteAsk;
+pub use router::RouteRequest;
 pub use router::Router;
--- a/crates/bilberry-entry/src/plain.rs
+++ b/crates/bilberry-entry/src/plain.rs
@@ -109,7 +109,7 @@
         admitted: &Admitted<P, K>,
         ask: &PlainAsk,
     ) -> Result<Response<OutBody>, ApiError> {
-        self.retries.lock().unwrap().earn();
+        self.retry_budget.lock().unwrap().earn();
         let mut tried = Vec::new();
         loop {
             let error = match self.attempt(admitted, ask, &mut tried).await {
@@ -117,7 +117,7 @@
                 Attempted::NotRun(error) | Attempted::Unclear(error) => error,
             };
             let is_last = tried.len() >= MOST_ATTEMPTS || error.code == "no_upstream";
-            if is_last || !self.retries.lock().unwrap().spend() {
+            if is_last || !self.retry_budget.lock().unwrap().spend() {
                 return Err(error);
             }
         }
--- a/crates/bilberry-entry/src/plain/attempt.rs
+++ b/crates/bilberry-entry/src/plain/attempt.rs
@@ -18,7 +18,7 @@
 use crate::Entry;
 use crate::ErrorKind;
 use crate::Knowledge;
-use crate::RouteAsk;
+use crate::RouteRequest;
 use crate::entry::Admitted;
 use crate::plain::PlainAsk;
 
@@ -54,7 +54,7 @@
         let mut call = match sent {
             Ok(call) => call,
             Err(error) => {
-                self.router.note_lost(&choice.upstream);
+                self.router.record_failure(&choice.upstream);
                 return of_link_error(error);
             }
         };
@@ -70,7 +70,7 @@
                 }
                 Ok(Ok(_)) => {}
                 Ok(Err(error)) => {
-                    self.router.note_lost(&choice.upstream);
+                    self.router.record_failure(&choice.upstream);
                     return of_link_error(error);
                 }
                 Err(_) => return Attempted::Unclear(late()),
@@ -83,9 +83,9 @@
     admitted: &Admitted<P, K>,
     ask: &PlainAsk,
     tried: &[Name],
-) -> RouteAsk {
+) -> RouteRequest {
     let customer = &admitted.customer;
-    RouteAsk {
+    RouteRequest {
         request: admitted.id.clone(),
         pool: ask.service.pool.clone(),
         customer: customer.name.clone(),
@@ -97,7 +97,7 @@
             weights: Name::new(),
         },
         prompt: String::new(),
-        only_weights: None,
+        required_weights: None,
         tried: tried.to_vec(),
     }
 }
--- a/crates/bilberry-entry/src/plain/claimed.rs
+++ b/crates/bilberry-entry/src/plain/claimed.rs
@@ -38,8 +38,8 @@
             state: ClaimState::Running,
         };
         let version = match self.claims.claim(&object, &claim).await {
-            Ok(ClaimOutcome::Held(version)) => version,
-            Ok(ClaimOutcome::Met(verdict)) => return repeat_answer(verdict),
+            Ok(ClaimOutcome::Acquired(version)) => version,
+            Ok(ClaimOutcome::Existing(verdict)) => return repeat_answer(verdict),
             Err(error) => {
                 return self.without_claim(admitted, ask, object, claim, error).await;
             }
@@ -56,7 +56,7 @@
         let claim = Claim { state, ..claim };
         if self.claims.record(&object, &claim, version).await.is_err() {
             let claims = self.claims.clone();
-            self.tasks.spawn(claims.record_later(object, claim, version));
+            self.tasks.spawn(claims.record_with_retries(object, claim, version));
         }
         answered
     }
@@ -78,7 +78,7 @@
         }
         if may_stand {
             let claims = self.claims.clone();
-            self.tasks.spawn(claims.release_later(object, claim));
+            self.tasks.spawn(claims.release_with_retries(object, claim));
         }
         let message = "the record that keeps this call to one run can't be written now; \
                        come back with the same key";
--- a/crates/bilberry-entry/src/router.rs
+++ b/crates/bilberry-entry/src/router.rs
@@ -1,4 +1,4 @@
-//! Choosing the upstream of a request.
+//! Selection of the upstream for a request.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -34,134 +34,147 @@
 use crate::Question;
 use crate::Target;
 
-/// How many upstreams are asked for each depth of the chain.
-const PER_DEPTH: usize = 1;
+/// The number of candidates to probe for each depth of the chain.
+const CANDIDATES_PER_DEPTH: usize = 1;
 
-/// How long a waiting time that was heard counts for the least loaded.
-const WAIT_KNOWN_MS: u64 = 1_000;
+/// The age from which a reported wait is ignored when candidates are compared by load.
+const WAIT_MAX_AGE_MS: u64 = 1_000;
 
-/// How long an upstream that did not answer is left out.
-const LEFT_OUT_MS: u64 = 500;
+/// The time for which an upstream that did not answer is excluded.
+const EXCLUSION_MS: u64 = 500;
 
-/// Chooses upstreams; what it remembers may be lost without harm.
+/// Selects upstreams. Its state is a cache and can be lost at any time.
 #[derive(Debug)]
 pub struct Router<K> {
     node: Arc<Node>,
     place: Place,
     knowledge: K,
-    probe_wait: Duration,
-    known: Mutex<HashMap<Name, Known>>,
-    turn: AtomicUsize,
+    probe_timeout: Duration,
+    states: Mutex<HashMap<Name, UpstreamState>>,
+    round_robin: AtomicUsize,
 }
 
-/// What was heard of one upstream last.
+/// The last known state of an upstream.
 #[derive(Debug, Default)]
-struct Known {
+struct UpstreamState {
     wait_ms: u64,
-    heard_at: UnixMs,
+    updated_at: UnixMs,
     weights: Option<Name>,
     in_flight: usize,
     breaker: Breaker,
 }
 
-/// What is to be routed.
+/// A request to be routed.
 #[derive(Debug, Clone)]
-pub struct RouteAsk {
-    /// The request.
+pub struct RouteRequest {
+    /// The ID of the request.
     pub request: String,
-    /// The pool.
+    /// The pool of upstreams to select from.
     pub pool: Name,
     /// The customer.
     pub customer: Name,
     /// The customer's priority.
     pub priority: u8,
-    /// The scope on the configured weights.
+    /// The cache scope of the request on the configured weights.
     pub scope: Scope,
-    /// The prompt; empty for a plain call.
+    /// The prompt; empty for a call to a plain service.
     pub prompt: String,
-    /// The weights that a resumed stream needs.
-    pub only_weights: Option<Name>,
-    /// Upstreams that were tried already.
+    /// The weights with which a resumed stream must continue.
+    pub required_weights: Option<Name>,
+    /// The upstreams to exclude because they have been tried.
     pub tried: Vec<Name>,
 }
 
-/// The upstream of a request.
+/// The upstream selected for a request.
 #[derive(Debug, Clone)]
 pub struct Choice {
     /// The upstream.
     pub upstream: Name,
-    /// Where its sidecar is reached.
+    /// The address of its sidecar.
     pub address: SocketAddr,
-    /// The prompt's chain for the weights that it runs.
+    /// The block chain of the prompt for the weights of the upstream.
     pub chain: Chain,
 }
 
 impl<K: Knowledge> Router<K> {
-    /// Creates a router of an entry at `place`.
+    /// Creates the router of an entry located at `place`.
     pub fn new(node: Arc<Node>, place: Place, knowledge: K, probe_ms: u64) -> Self {
         Self {
             node,
             place,
             knowledge,
-            probe_wait: Duration::from_millis(probe_ms),
-            known: Mutex::default(),
-            turn: AtomicUsize::new(0),
+            probe_timeout: Duration::from_millis(probe_ms),
+            states: Mutex::default(),
+            round_robin: AtomicUsize::new(0),
         }
     }
 
-    /// Chooses an upstream, or returns `None` if none takes new work.
-    pub async fn route(&self, compiled: &Compiled, ask: &RouteAsk) -> Option<Choice> {
-        let pool = compiled.pools.get(&ask.pool)?;
-        let targets = self.targets(compiled, ask);
+    /// Selects an upstream; returns `None` if none accepts new requests.
+    pub async fn route(
+        &self,
+        compiled: &Compiled,
+        request: &RouteRequest,
+    ) -> Option<Choice> {
+        let pool = compiled.pools.get(&request.pool)?;
+        let targets = self.targets(compiled, request);
         if targets.is_empty() {
             return None;
         }
-        let chains = chains(ask, &targets);
-        let home = chains.get(&ask.scope.weights).cloned().unwrap_or_default();
-        let order = self.order(pool, &targets, &home);
+        let chains = chains(request, &targets);
+        let configured_chain =
+            chains.get(&request.scope.weights).cloned().unwrap_or_default();
+        let ranked = self.rank_targets(pool, &targets, &configured_chain);
         let chosen = match pool.policy.as_str() {
-            "probe" => self.ask_and_choose(pool, ask, &targets, order, &chains).await?,
-            _ => order.first()?.at,
+            "probe" => {
+                self.probe_and_choose(pool, request, &targets, ranked, &chains).await?
+            }
+            _ => ranked.first()?.at,
         };
         let target = &targets[chosen];
         let chain = chains.get(&target.weights).cloned().unwrap_or_default();
         Some(Choice { upstream: target.upstream.clone(), address: target.address, chain })
     }
 
-    /// Notes that a request was given to an upstream.
-    pub fn note_start(&self, upstream: &Name) {
-        let mut known = self.known.lock().unwrap();
-        known.entry(upstream.clone()).or_default().in_flight += 1;
+    /// Records that a request was sent to an upstream.
+    pub fn record_start(&self, upstream: &Name) {
+        let mut states = self.states.lock().unwrap();
+        states.entry(upstream.clone()).or_default().in_flight += 1;
     }
 
-    /// Notes that a request at an upstream ended.
-    pub fn note_end(&self, upstream: &Name) {
-        if let Some(known) = self.known.lock().unwrap().get_mut(upstream) {
-            known.in_flight = known.in_flight.saturating_sub(1);
+    /// Records that a request at an upstream ended.
+    pub fn record_end(&self, upstream: &Name) {
+        if let Some(state) = self.states.lock().unwrap().get_mut(upstream) {
+            state.in_flight = state.in_flight.saturating_sub(1);
         }
     }
 
-    /// Notes that an upstream was lost, so that it is left out for a while.
-    pub fn note_lost(&self, upstream: &Name) {
-        let retry_at = SystemClock.now().plus_ms(LEFT_OUT_MS);
-        let mut known = self.known.lock().unwrap();
-        known.entry(upstream.clone()).or_default().breaker.fail(retry_at);
+    /// Records that an upstream failed, which excludes it temporarily.
+    pub fn record_failure(&self, upstream: &Name) {
+        let retry_at = SystemClock.now().plus_ms(EXCLUSION_MS);
+        let mut states = self.states.lock().unwrap();
+        states.entry(upstream.clone()).or_default().breaker.fail(retry_at);
     }
 
-    /// Returns the upstreams of the pool that may be used.
-    fn targets(&self, compiled: &Compiled, ask: &RouteAsk) -> Vec<Target> {
+    /// Returns the eligible upstreams of the pool.
+    fn targets(&self, compiled: &Compiled, request: &RouteRequest) -> Vec<Target> {
         let members = self.node.members.current();
-        let known = self.known.lock().unwrap();
-        let pool = compiled.by_pool.get(&ask.pool).map_or(&[][..], Vec::as_slice);
+        let states = self.states.lock().unwrap();
+        let pool = compiled.by_pool.get(&request.pool).map_or(&[][..], Vec::as_slice);
         let usable = pool.iter().filter_map(|upstream| {
             let sidecar = members.sidecars.get(&upstream.name)?;
-            if sidecar.leaving || ask.tried.contains(&upstream.name) {
+            if sidecar.leaving || request.tried.contains(&upstream.name) {
                 return None;
             }
-            let heard = known.get(&upstream.name).and_then(|k| k.weights.clone());
-            let weights = heard.unwrap_or_else(|| ask.scope.weights.clone());
+            let reported_weights =
+                states.get(&upstream.name).and_then(|k| k.weights.clone());
+            let weights =
+                reported_weights.unwrap_or_else(|| request.scope.weights.clone());
             let version = weights_version(&weights);
-            if ask.only_weights.as_ref().is_some_and(|only| *only != version) {
+            if request
+                .required_weights
+                .as_ref()
+                .is_some_and(|required| *required != version)
+            {
                 return None;
             }
             let place = Place::parse(&upstream.place)?;
@@ -174,125 +187,148 @@
             })
         });
         let usable: Vec<_> = usable.collect();
-        // An upstream that does not answer costs each request a wait. Yet when all
-        // of them are left out, asking again is better than refusing.
+        // Probing an unresponsive upstream delays every request, so such upstreams
+        // are excluded. If this would exclude all of them, they are tried anyway,
+        // which is better than rejecting the request.
         let now = SystemClock.now();
-        let answers = |target: &&Target| {
-            let state = known.get(&target.upstream).map(|k| k.breaker.state(now));
+        let is_responsive = |target: &&Target| {
+            let state = states.get(&target.upstream).map(|k| k.breaker.state(now));
             state != Some(BreakerState::Open)
         };
-        match usable.iter().any(|target| answers(&target)) {
-            true => usable.iter().filter(answers).cloned().collect(),
+        match usable.iter().any(|target| is_responsive(&target)) {
+            true => usable.iter().filter(is_responsive).cloned().collect(),
             false => usable,
         }
     }
 
-    /// Returns those worth asking, or worth trying in turn.
-    fn order(&self, pool: &Pool, targets: &[Target], home: &Chain) -> Vec<Seat> {
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
+    /// Returns the targets to probe or try, in order of preference.
+    fn rank_targets(
+        &self,
+        pool: &Pool,
+        targets: &[Target],
+        configured_chain: &Chain,
+    ) -> Vec<Seat> {
+        let round_robin = self.round_robin.fetch_add(1, Ordering::Relaxed);
         let positions = match pool.policy.as_str() {
-            "round_robin" => vec![turn % targets.len()],
-            "least_loaded" => self.least_in_flight(targets, turn),
+            "round_robin" => vec![round_robin % targets.len()],
+            "least_loaded" => self.least_in_flight(targets, round_robin),
             _ if K::ASKS_ALL => (0..targets.len()).collect(),
-            "rendezvous" => by_deepest(home, &self.as_candidates(targets), turn),
+            "rendezvous" => rank_by_longest_prefix(
+                configured_chain,
+                &self.load_candidates(targets),
+                round_robin,
+            ),
             _ => {
-                let upstreams = self.as_candidates(targets);
-                return candidates(home, &upstreams, PER_DEPTH, pool.probes, turn as u64);
+                let upstreams = self.load_candidates(targets);
+                return candidates(
+                    configured_chain,
+                    &upstreams,
+                    CANDIDATES_PER_DEPTH,
+                    pool.probes,
+                    round_robin as u64,
+                );
             }
         };
         positions.into_iter().map(|at| Seat { at, is_ranked: true }).collect()
     }
 
-    fn as_candidates(&self, targets: &[Target]) -> Vec<Candidate> {
+    fn load_candidates(&self, targets: &[Target]) -> Vec<Candidate> {
         let now = SystemClock.now();
-        let known = self.known.lock().unwrap();
-        let wait_of = |target: &Target| match known.get(&target.upstream) {
-            Some(k) if now.ms_since(k.heard_at) < WAIT_KNOWN_MS => k.wait_ms,
+        let states = self.states.lock().unwrap();
+        let wait_of = |target: &Target| match states.get(&target.upstream) {
+            Some(k) if now.ms_since(k.updated_at) < WAIT_MAX_AGE_MS => k.wait_ms,
             _ => 0,
         };
         targets.iter().map(|t| Candidate::new(t.upstream.clone(), wait_of(t))).collect()
     }
 
-    fn least_in_flight(&self, targets: &[Target], turn: usize) -> Vec<usize> {
-        let known = self.known.lock().unwrap();
-        let busy = |at: &usize| {
-            let known = known.get(&targets[*at].upstream);
-            // The turn decides between equals, or the first would take them all.
-            let tie = (at + turn) % targets.len();
-            (known.map_or(0, |k| k.in_flight), tie)
+    fn least_in_flight(&self, targets: &[Target], round_robin: usize) -> Vec<usize> {
+        let states = self.states.lock().unwrap();
+        let load = |at: &usize| {
+            let state = states.get(&targets[*at].upstream);
+            // Ties are broken round robin; otherwise the first target would get all
+            // requests.
+            let tie = (at + round_robin) % targets.len();
+            (state.map_or(0, |state| state.in_flight), tie)
         };
-        (0..targets.len()).min_by_key(busy).into_iter().collect()
+        (0..targets.len()).min_by_key(load).into_iter().collect()
     }
 
-    async fn ask_and_choose(
+    async fn probe_and_choose(
         &self,
         pool: &Pool,
-        ask: &RouteAsk,
+        request: &RouteRequest,
         targets: &[Target],
-        order: Vec<Seat>,
+        ranked: Vec<Seat>,
         chains: &HashMap<Name, Chain>,
     ) -> Option<usize> {
-        let asked = order.iter().map(|&Seat { at, is_ranked }| {
+        let probed = ranked.iter().map(|&Seat { at, is_ranked }| {
             let target = targets[at].clone();
             Target { is_ranked, ..target }
         });
-        let asked: Vec<_> = asked.collect();
+        let probed: Vec<_> = probed.collect();
         let question = Question {
-            customer: &ask.customer,
-            priority: ask.priority,
-            prompt: &ask.prompt,
+            customer: &request.customer,
+            priority: request.priority,
+            prompt: &request.prompt,
             chains,
-            scope: &ask.scope,
-            wait: self.probe_wait,
+            scope: &request.scope,
+            wait: self.probe_timeout,
         };
-        let answers = self.knowledge.ask(&asked, &question).await;
-        self.note_answers(&asked, &answers);
+        let answers = self.knowledge.ask(&probed, &question).await;
+        self.record_answers(&probed, &answers);
         let ready: Vec<_> = answers.iter().filter(|a| a.is_ready()).collect();
         let views: Vec<_> = ready.iter().map(|answer| answer.view.clone()).collect();
         let blocks = chains.values().map(Chain::len).max().unwrap_or(0) as u64;
         let weighing = Weighing { recompute_weight: pool.recompute_weight };
         let best = choose(&views, blocks, weighing).map(|at| ready[at].target);
-        let explained = Explained::new(&asked, &answers, blocks, weighing, best);
-        self.node.events.record(&ask.request, "routed", explained.detail());
-        // Without an answer the first guess stands, unless it said it is leaving.
-        best.or_else(|| views.is_empty().then_some(0)).map(|at| order[at].at)
+        let explained = Explained::new(&probed, &answers, blocks, weighing, best);
+        self.node.events.record(&request.request, "routed", explained.detail());
+        // If no upstream answered that it is ready, the first candidate is used.
+        best.or_else(|| views.is_empty().then_some(0)).map(|at| ranked[at].at)
     }
 
-    fn note_answers(&self, asked: &[Target], answers: &[Answered]) {
+    fn record_answers(&self, probed: &[Target], answers: &[Answered]) {
         let now = SystemClock.now();
-        let mut known = self.known.lock().unwrap();
-        for (at, target) in asked.iter().enumerate() {
-            let entry = known.entry(target.upstream.clone()).or_default();
+        let mut states = self.states.lock().unwrap();
+        for (at, target) in probed.iter().enumerate() {
+            let entry = states.entry(target.upstream.clone()).or_default();
             match answers.iter().find(|answer| answer.target == at) {
                 Some(answer) => {
                     entry.wait_ms = answer.view.wait_ms as u64;
-                    entry.heard_at = now;
+                    entry.updated_at = now;
                     entry.weights =
                         Some(answer.weights.clone()).filter(|w| !w.is_empty());
                     entry.breaker.succeed();
                 }
-                None => entry.breaker.fail(now.plus_ms(LEFT_OUT_MS)),
+                None => entry.breaker.fail(now.plus_ms(EXCLUSION_MS)),
             }
         }
     }
 }
 
-/// Returns the prompt's chain for each of the weights that targets run.
-fn chains(ask: &RouteAsk, targets: &[Target]) -> HashMap<Name, Chain> {
+/// Returns the block chain of the prompt for all weights that the targets run.
+fn chains(request: &RouteRequest, targets: &[Target]) -> HashMap<Name, Chain> {
     let mut chains = HashMap::new();
     let of_targets = targets.iter().map(|target| &target.weights);
-    for weights in of_targets.chain([&ask.scope.weights]) {
+    for weights in of_targets.chain([&request.scope.weights]) {
         if !chains.contains_key(weights) {
-            let scope = Scope { weights: weights.clone(), ..ask.scope.clone() };
-            chains.insert(weights.clone(), Chain::new(&scope.salt(), &ask.prompt));
+            let scope = Scope { weights: weights.clone(), ..request.scope.clone() };
+            chains.insert(weights.clone(), Chain::new(&scope.salt(), &request.prompt));
         }
     }
     chains
 }
 
-/// Ranks all upstreams for the deepest power-of-two prefix of the prompt.
-fn by_deepest(home: &Chain, upstreams: &[Candidate], turn: usize) -> Vec<usize> {
-    let depth = home.len().checked_ilog2().map(|bits| 1 << bits);
-    let hash = depth.map_or(turn as u64, |depth: usize| home.hashes()[depth - 1]);
+/// Ranks all upstreams by rendezvous hashing of the longest prefix of the prompt
+/// whose number of blocks is a power of two.
+fn rank_by_longest_prefix(
+    configured_chain: &Chain,
+    upstreams: &[Candidate],
+    round_robin: usize,
+) -> Vec<usize> {
+    let depth = configured_chain.len().checked_ilog2().map(|bits| 1 << bits);
+    let hash = depth
+        .map_or(round_robin as u64, |depth: usize| configured_chain.hashes()[depth - 1]);
     rendezvous(hash, upstreams, 1)
 }
--- a/crates/bilberry-entry/src/run.rs
+++ b/crates/bilberry-entry/src/run.rs
@@ -75,7 +75,7 @@
 impl<P: Platform, K: Knowledge> Run<P, K> {
     pub(crate) fn new(entry: Arc<Entry<P, K>>, start: RunStart) -> Self {
         entry.node.metrics.requests.inc();
-        entry.retries.lock().unwrap().earn();
+        entry.retry_budget.lock().unwrap().earn();
         Self {
             entry,
             start,
@@ -148,7 +148,7 @@
     /// bounded, as a request that kills its engine would otherwise kill them all.
     fn recover(&mut self, why: &str) -> Result<(), ApiError> {
         if let Some(live) = self.live.take() {
-            self.entry.router.note_lost(&live.upstream);
+            self.entry.router.record_failure(&live.upstream);
             self.tried.push(live.upstream.clone());
         }
         self.lost_any = true;
@@ -169,7 +169,7 @@
         // An upstream that leaves is no overload, and must cost no caller a refusal.
         let is_free = refused.code == "upstream_leaving";
         let error = self.as_known(ApiError::of_refusal(refused));
-        if is_final || !(is_free || self.entry.retries.lock().unwrap().spend()) {
+        if is_final || !(is_free || self.entry.retry_budget.lock().unwrap().spend()) {
             return Err(error);
         }
         self.refusal = Some(error);
--- a/crates/bilberry-entry/src/run/attempt.rs
+++ b/crates/bilberry-entry/src/run/attempt.rs
@@ -17,7 +17,7 @@
 use crate::Choice;
 use crate::Entry;
 use crate::Knowledge;
-use crate::RouteAsk;
+use crate::RouteRequest;
 use crate::run::Run;
 
 /// How often a request waits for a lost upstream to come back.
@@ -35,7 +35,7 @@
 
 impl<P: Platform, K: Knowledge> Drop for Attempt<P, K> {
     fn drop(&mut self) {
-        self.entry.router.note_end(&self.upstream);
+        self.entry.router.record_end(&self.upstream);
     }
 }
 
@@ -52,7 +52,7 @@
                 Ok(call) => {
                     self.attempts += 1;
                     self.entry.node.metrics.upstream_calls.inc();
-                    self.entry.router.note_start(&choice.upstream);
+                    self.entry.router.record_start(&choice.upstream);
                     let entry = self.entry.clone();
                     let upstream = choice.upstream;
                     self.live = Some(Attempt { entry, upstream, call });
@@ -61,7 +61,7 @@
                 // Nothing was sent, so this was no attempt; another upstream may do.
                 Err(_) => {
                     self.lost_any = true;
-                    self.entry.router.note_lost(&choice.upstream);
+                    self.entry.router.record_failure(&choice.upstream);
                     self.tried.push(choice.upstream);
                 }
             }
@@ -75,14 +75,14 @@
             adapter: self.start.model.adapter.clone(),
             weights: self.start.model.weights.clone(),
         };
-        let ask = RouteAsk {
+        let ask = RouteRequest {
             request: self.start.id.clone(),
             pool: self.start.model.pool.clone(),
             customer: self.start.customer.name.clone(),
             priority: self.start.customer.priority,
             scope,
             prompt: self.start.request.prompt.clone(),
-            only_weights: self.resumed_weights(),
+            required_weights: self.resumed_weights(),
             tried: self.tried.clone(),
         };
         let first = self.entry.router.route(&self.start.compiled, &ask).await;
@@ -96,7 +96,7 @@
         let left = self.start.deadline.left(SystemClock.now());
         tokio::time::sleep(LOST_PAUSE.min(left)).await;
         self.tried.clear();
-        let ask = RouteAsk { tried: Vec::new(), ..ask };
+        let ask = RouteRequest { tried: Vec::new(), ..ask };
         let again = self.entry.router.route(&self.start.compiled, &ask).await;
         again.ok_or_else(|| self.no_upstream())
     }
