--- a/crates/bilberry-entry/src/admin.rs
+++ b/crates/bilberry-entry/src/admin.rs
@@ -1,4 +1,4 @@
-//! The administration API, on its own address and behind a token.
+//! The administration API, which has its own address and requires a token.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,14 +30,14 @@
 use crate::fleet::fleet_events;
 use crate::fleet::fleet_status;
 
-/// The largest folder that is taken.
+/// The maximum size of a configuration folder.
 const MAX_FOLDER_BYTES: usize = 64 * 1024 * 1024;
 
-/// How long a folder may take to arrive.
-const FOLDER_MS: u64 = 30_000;
+/// The maximum time for receiving a configuration folder.
+const FOLDER_TIMEOUT_MS: u64 = 30_000;
 
-/// How long a sidecar may take to answer a drain.
-const DRAIN_WAIT: Duration = Duration::from_millis(2_000);
+/// The time to wait for the answer of a sidecar to a drain request.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Serves the administration API of an entry.
 #[derive(Debug)]
@@ -47,7 +47,7 @@
 }
 
 #[derive(Serialize)]
-struct Drained {
+struct DrainStatus {
     upstream: String,
     in_progress: u64,
 }
@@ -66,8 +66,8 @@
         let method = request.method().clone();
         let path = request.uri().path().to_string();
         let entry = &self.entry;
-        let parts: Vec<_> = path.trim_start_matches('/').split('/').collect();
-        match (method, parts.as_slice()) {
+        let segments: Vec<_> = path.trim_start_matches('/').split('/').collect();
+        match (method, segments.as_slice()) {
             (Method::POST, ["v1", "config", "check" | "diff"]) => {
                 let folder = read_folder(request).await?;
                 ok(&entry.diff_config(&author, folder).await?)
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Returns whose pieces the token may change.
+    /// Returns the owner whose configuration pieces the token may change.
     fn authorise(&self, headers: &HeaderMap) -> Result<Name, ApiError> {
         let hash = bearer(headers).map(hash_secret).unwrap_or_default();
         let known = self.administrators.iter().find(|admin| admin.token_hash == hash);
@@ -107,21 +107,22 @@
         })
     }
 
-    async fn drain(&self, upstream: &str) -> Result<Drained, ApiError> {
+    async fn drain(&self, upstream: &str) -> Result<DrainStatus, ApiError> {
         let members = self.entry.node.members.current();
         let sidecar = members.sidecars.get(&Name::from(upstream)).ok_or_else(|| {
             let message = format!("no sidecar of `{upstream}` is known; see `status`");
             ApiError::not_run(ErrorKind::NotFound, "upstream_not_found", message)
         })?;
         let ask = Body::DrainAsk(DrainAsk { upstream: upstream.to_string() });
-        match self.entry.links.ask(sidecar.address, ask, DRAIN_WAIT).await {
+        match self.entry.links.ask(sidecar.address, ask, DRAIN_TIMEOUT).await {
             Ok(Body::DrainAnswer(answer)) => {
-                // This entry stops at once; the others learn from the sidecar's
-                // own answers and from the exchange between peers.
-                let is_it = |m: &bilberry_wire::Member| m.upstream == upstream;
-                self.entry.node.members.mark_leaving(is_it);
+                // This entry stops routing to the upstream immediately; other entries
+                // learn of the drain from the sidecar's answers and the exchange of
+                // members between peers.
+                let is_drained = |m: &bilberry_wire::Member| m.upstream == upstream;
+                self.entry.node.members.mark_leaving(is_drained);
                 let in_progress = answer.in_progress;
-                Ok(Drained { upstream: upstream.to_string(), in_progress })
+                Ok(DrainStatus { upstream: upstream.to_string(), in_progress })
             }
             _ => {
                 let message = format!("the sidecar of `{upstream}` did not answer");
@@ -142,7 +143,7 @@
 
 async fn read_folder(request: Request<Incoming>) -> Result<Folder, ApiError> {
     let refuse = |message| ApiError::not_run(ErrorKind::Invalid, "invalid_body", message);
-    let body = read_body(request.into_body(), MAX_FOLDER_BYTES, FOLDER_MS).await;
+    let body = read_body(request.into_body(), MAX_FOLDER_BYTES, FOLDER_TIMEOUT_MS).await;
     let body = body.map_err(|error| refuse(error.to_string()))?;
     serde_json::from_slice(&body).map_err(|error| {
         refuse(format!("the body is no folder: {error}; send {{\"files\": [...]}}"))
--- a/crates/bilberry-entry/src/admin_config.rs
+++ b/crates/bilberry-entry/src/admin_config.rs
@@ -1,4 +1,4 @@
-//! Changing the configuration in force.
+//! Changes to the active configuration.
 
 use std::sync::Arc;
 
@@ -31,17 +31,17 @@
 use crate::ErrorKind;
 use crate::Knowledge;
 
-/// What came of a check, a diff or an apply.
+/// The result of a check, diff or apply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigStatus {
-    /// The revision in force, or the one that the apply made.
+    /// The stored revision, or the one created by an apply.
     pub revision: u64,
-    /// What changes or changed.
+    /// The changes.
     pub changes: Vec<Change>,
 }
 
-/// A configuration that was checked against the pieces of the others.
-struct Checked {
+/// A configuration that was validated together with the pieces of other authors.
+struct CheckedConfig {
     head: Head,
     head_version: u64,
     changes: Vec<Change>,
@@ -50,7 +50,7 @@
 }
 
 impl<P: Platform, K: Knowledge> Entry<P, K> {
-    /// Checks a folder and tells what would change.
+    /// Validates a folder and returns the changes that it would make.
     pub(crate) async fn diff_config(
         &self,
         author: &Name,
@@ -60,7 +60,7 @@
         Ok(ConfigStatus { revision: checked.head.revision, changes: checked.changes })
     }
 
-    /// Puts a folder in force in place of the author's earlier one.
+    /// Replaces the author's pieces with those of a folder.
     pub(crate) async fn apply_config(
         self: &Arc<Self>,
         author: &Name,
@@ -68,15 +68,15 @@
     ) -> Result<ConfigStatus, ApiError> {
         let checked = self.check_config(author, folder).await?;
         let in_force = self.node.config.revision();
-        // What is stored may be behind what every process has; then it is to be in
-        // force again.
+        // The stored revision can be older than the active one, for example after the
+        // platform lost data. The configuration must then be stored again.
         if checked.changes.is_empty() && checked.head.revision >= in_force {
             let revision = checked.head.revision;
             return Ok(ConfigStatus { revision, changes: Vec::new() });
         }
-        // Pieces are stored first: a head never names a piece that is not there.
-        // Those that the stored head names stand there already; one that is in force
-        // need not, if the platform lost it.
+        // Pieces are stored before the head, so that a head never refers to a missing
+        // piece. Pieces of the stored head exist already; those of the active head may
+        // not, if the platform lost them.
         for file in &checked.files {
             let hash = hash_text(&file.text);
             if checked.head.pieces.iter().all(|piece| piece.hash != hash) {
@@ -92,20 +92,20 @@
             changes: checked.changes.clone(),
         };
         let head = checked.head.next(in_force, checked.refs, revised);
-        let text = serde_json::to_string(&head).expect("our own types serialise");
+        let text = serde_json::to_string(&head).expect("a head is serializable");
         let is_ours = |found: &str| found.contains(&token);
         let expected = checked.head_version;
-        let settled = settle(&self.platform, HEAD_KEY, &text, expected, is_ours).await;
-        match settled.map_err(unclear_error)? {
+        let outcome = settle(&self.platform, HEAD_KEY, &text, expected, is_ours).await;
+        match outcome.map_err(outcome_unknown_error)? {
             Settled::Written(_) => {
-                self.install_own(&text, checked.files);
+                self.install_applied(&text, checked.files);
                 Ok(ConfigStatus { revision: head.revision, changes: checked.changes })
             }
-            Settled::Lost(winner) => Err(race_lost(winner.value.as_deref())),
+            Settled::Lost(winner) => Err(conflict_error(winner.value.as_deref())),
         }
     }
 
-    /// Returns the history of the configuration in force.
+    /// Returns the history of the active configuration.
     pub(crate) fn config_history(&self) -> Vec<Revised> {
         self.node.config.in_force().head.history.clone()
     }
@@ -114,7 +114,7 @@
         &self,
         author: &Name,
         folder: Folder,
-    ) -> Result<Checked, ApiError> {
+    ) -> Result<CheckedConfig, ApiError> {
         let stored = self.platform.read(HEAD_KEY).await.map_err(platform_error)?;
         let (head, head_version) = match stored {
             Some(object) => {
@@ -126,7 +126,7 @@
             }
             None => (Head::default(), 0),
         };
-        let own = self.own_pieces(author, &folder)?;
+        let own = self.author_pieces(author, &folder)?;
         let owners = own.iter().map(|(piece, _)| piece.owner.clone()).collect();
         let changes = head.changes(&owners, &folder.files);
         let mut all = own;
@@ -139,12 +139,11 @@
         let named = refs.iter().map(|piece| piece.file.clone()).zip(parsed);
         let named: Vec<_> = named.collect();
         merge(head.revision + 1, &named).map_err(|error| invalid(error.to_string()))?;
-        Ok(Checked { head, head_version, changes, refs, files: folder.files })
+        Ok(CheckedConfig { head, head_version, changes, refs, files: folder.files })
     }
 
-    /// Returns the pieces of a folder, all of which `author` must be allowed to
-    /// change.
-    fn own_pieces(
+    /// Parses the pieces of a folder; fails if `author` may not change one of them.
+    fn author_pieces(
         &self,
         author: &Name,
         folder: &Folder,
@@ -168,10 +167,10 @@
         Ok(pieces)
     }
 
-    /// Parses a file, unless it is in force already.
+    /// Parses a file, or returns the parsed piece if it is active already.
     fn parsed(&self, file: &PieceFile, hash: &str) -> Result<Arc<Piece>, ApiError> {
         match self.node.config.in_force().pieces.get(hash) {
-            Some(held) => Ok(held.parsed.clone()),
+            Some(active) => Ok(active.parsed.clone()),
             None => {
                 let piece = Piece::parse(file);
                 piece.map(Arc::new).map_err(|error| invalid(error.to_string()))
@@ -180,9 +179,9 @@
     }
 
     async fn stored_piece(&self, piece: &PieceRef) -> Result<Arc<Piece>, ApiError> {
-        let held = self.node.config.in_force();
-        if let Some(held) = held.pieces.get(&piece.hash) {
-            return Ok(held.parsed.clone());
+        let active = self.node.config.in_force();
+        if let Some(active) = active.pieces.get(&piece.hash) {
+            return Ok(active.parsed.clone());
         }
         let key = format!("{PIECES_PREFIX}{}", piece.hash);
         let object = self.platform.read(&key).await.map_err(platform_error)?;
@@ -193,20 +192,22 @@
 
     async fn store_piece(&self, file: &PieceFile) -> Result<(), PlatformError> {
         let key = format!("{PIECES_PREFIX}{}", hash_text(&file.text));
-        // A piece stands under its own hash, so one that is there is the same.
+        // The key contains the hash of the piece, so an existing object is identical.
         let is_ours = |found: &str| found == file.text;
         settle(&self.platform, &key, &file.text, 0, is_ours).await.map(|_| ())
     }
 
-    fn install_own(&self, head_text: &str, files: Vec<PieceFile>) {
+    fn install_applied(&self, head_text: &str, files: Vec<PieceFile>) {
         let pieces = files
             .into_iter()
             .map(|file| WirePiece { hash: hash_text(&file.text), text: file.text })
             .collect();
         match self.node.config.install(head_text, pieces) {
             Ok(_) => self.node.events.record("", "config_applied", ""),
-            // The watch brings it shortly, with the pieces that are missing here.
-            Err(error) => log::info!("the new revision comes by the watch: {error}"),
+            // The watch delivers the revision shortly, with the pieces missing here.
+            Err(error) => {
+                log::info!("waiting for the new revision from the watch: {error}")
+            }
         }
     }
 }
@@ -221,8 +222,8 @@
         .retry_after(1_000)
 }
 
-/// Says that the head may have moved although no answer came.
-fn unclear_error(error: PlatformError) -> ApiError {
+/// Returns the error for a write of the head whose outcome is unknown.
+fn outcome_unknown_error(error: PlatformError) -> ApiError {
     let message = format!(
         "the change may be in force: {error}; look at `config history` before you \
          apply again"
@@ -230,7 +231,7 @@
     ApiError::may_have_run("platform_unavailable", message).retry_after(1_000)
 }
 
-fn race_lost(winner: Option<&str>) -> ApiError {
+fn conflict_error(winner: Option<&str>) -> ApiError {
     let head: Head =
         winner.and_then(|t| serde_json::from_str(t).ok()).unwrap_or_default();
     let author = head.history.last().map_or("", |revised| revised.author.as_str());
--- a/crates/bilberry-entry/src/api_error.rs
+++ b/crates/bilberry-entry/src/api_error.rs
@@ -1,4 +1,4 @@
-//! Errors as callers see them, in the shape that OpenAI clients parse.
+//! Errors returned to callers, in the format of the OpenAI API.
 
 use bilberry_core::RunState;
 use bilberry_node::OutBody;
@@ -10,28 +10,28 @@
 use hyper::header::RETRY_AFTER;
 use serde::Serialize;
 
-/// The kind of an error, which decides its status.
+/// The kind of an error, which determines its HTTP status.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum ErrorKind {
-    /// The request is wrong.
+    /// The request is malformed or invalid.
     Invalid,
-    /// The key is missing or unknown.
+    /// The API key or token is missing or unknown.
     Unauthenticated,
-    /// The customer may not use what it asked for.
+    /// The credentials do not permit the operation.
     Forbidden,
-    /// There is no such thing.
+    /// The path, model, service or upstream does not exist.
     NotFound,
     /// The request is too large.
     TooLarge,
-    /// The request took too long to arrive.
+    /// The request was not received in time.
     SlowRequest,
-    /// The key of a non-idempotent call is in use.
+    /// The request conflicts with another one, such as a call with the same key.
     Conflict,
-    /// The key was used for another request.
+    /// The idempotency key was used for another request.
     Mismatch,
-    /// A limit is reached.
+    /// The customer exceeds its rate or concurrency limit.
     RateLimited,
-    /// The request can't be served now.
+    /// The request cannot be served at this time.
     Unavailable,
     /// The upstream failed.
     Upstream,
@@ -39,22 +39,22 @@
     Deadline,
 }
 
-/// An error for a caller.
+/// An error returned to a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ApiError {
     /// The kind.
     pub kind: ErrorKind,
-    /// A stable word for the reason.
+    /// A stable, machine-readable code.
     pub code: String,
-    /// The reason and the remedy.
+    /// The cause and, where possible, a remedy.
     pub message: String,
     /// Whether the request ran.
     pub run_state: RunState,
-    /// When to come back; `None` where repeating does not help.
+    /// The time after which to retry; `None` if a retry does not help.
     pub retry_after_ms: Option<u64>,
 }
 
-/// The body of an error.
+/// The body of an error response.
 #[derive(Debug, Serialize)]
 pub(crate) struct ErrorBody<'a> {
     error: ErrorFields<'a>,
@@ -73,7 +73,7 @@
 }
 
 impl ApiError {
-    /// Creates an error of a request that did not run.
+    /// Creates an error for a request that did not run.
     pub fn not_run(kind: ErrorKind, code: &str, message: impl Into<String>) -> Self {
         Self {
             kind,
@@ -84,26 +84,26 @@
         }
     }
 
-    /// Creates an error of a request that may have run.
+    /// Creates an error for a request that may have run.
     pub fn may_have_run(code: &str, message: impl Into<String>) -> Self {
         let run_state = RunState::MayHaveRun;
         Self { run_state, ..Self::not_run(ErrorKind::Upstream, code, message) }
     }
 
-    /// Adds when to come back.
+    /// Sets the time after which to retry.
     pub fn retry_after(mut self, retry_after_ms: u64) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
         self
     }
 
-    /// Replaces what is known of the run.
+    /// Sets whether the request ran.
     pub fn with_run_state(mut self, run_state: RunState) -> Self {
         self.run_state = run_state;
         self
     }
 
-    /// Returns the error for a sidecar's refusal.
-    pub fn of_refusal(refused: &Refused) -> Self {
+    /// Converts the rejection of a request by a sidecar.
+    pub fn from_refusal(refused: &Refused) -> Self {
         let kind = match refused.upstream_status {
             0 if refused.may_have_run => ErrorKind::Upstream,
             0 => ErrorKind::Unavailable,
@@ -119,7 +119,7 @@
         Self { run_state, retry_after_ms, ..error }
     }
 
-    /// Returns the status.
+    /// Returns the HTTP status.
     pub fn status(&self) -> StatusCode {
         match self.kind {
             ErrorKind::Invalid => StatusCode::BAD_REQUEST,
@@ -142,7 +142,7 @@
         ErrorBody {
             error: ErrorFields {
                 message: &self.message,
-                kind: self.type_word(),
+                kind: self.error_type(),
                 code: &self.code,
                 param: None,
                 run_state: self.run_state,
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Returns the whole answer.
+    /// Returns the HTTP response.
     pub fn response(&self) -> Response<OutBody> {
         let mut response = json_answer(self.status(), &self.body());
         if let Some(ms) = self.retry_after_ms {
@@ -161,7 +161,7 @@
         response
     }
 
-    fn type_word(&self) -> &'static str {
+    fn error_type(&self) -> &'static str {
         match self.kind {
             ErrorKind::Invalid
             | ErrorKind::NotFound
--- a/crates/bilberry-entry/src/chat.rs
+++ b/crates/bilberry-entry/src/chat.rs
@@ -1,11 +1,11 @@
-//! Rendering chat messages into the text whose prefixes are compared.
+//! Rendering of chat messages into text for matching cached prefixes.
 
 use serde_json::Value;
 
-/// Renders the messages of a chat into one text.
+/// Renders the messages of a chat as text.
 ///
-/// Engines apply their own templates. What matters here is only that equal
-/// leading messages give equal leading text.
+/// The text is not sent to engines, which apply their own templates. It only has to
+/// map equal leading messages to equal prefixes.
 pub fn render_prompt(messages: &[Value]) -> String {
     let mut text = String::new();
     for message in messages {
--- a/crates/bilberry-entry/src/completion.rs
+++ b/crates/bilberry-entry/src/completion.rs
@@ -1,4 +1,4 @@
-//! Serving completions to callers.
+//! Handling of completion requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,16 +21,16 @@
 use crate::ErrorKind;
 use crate::Knowledge;
 use crate::entry::Admitted;
-use crate::run::Output;
 use crate::run::Run;
-use crate::run::RunStart;
-use crate::sse::Writer;
+use crate::run::RunOutput;
+use crate::run::RunParams;
+use crate::sse::CompletionWriter;
 
-/// How many events may wait for a caller that reads slowly.
-const UNREAD_EVENTS: usize = 64;
+/// The maximum number of events buffered for a caller that reads slowly.
+const MAX_BUFFERED_EVENTS: usize = 64;
 
 impl<P: Platform, K: Knowledge> Entry<P, K> {
-    /// Serves one completion.
+    /// Handles a completion request.
     pub(crate) async fn complete(
         self: Arc<Self>,
         admitted: Admitted<P, K>,
@@ -39,11 +39,11 @@
     ) -> Result<Response<OutBody>, ApiError> {
         let request = CompletionRequest::parse(style, body)?;
         let Admitted { compiled, customer, deadline, id, .. } = &admitted;
-        let known = compiled.models.get(&request.model);
-        let model = known
+        let configured = compiled.models.get(&request.model);
+        let model = configured
             .filter(|model| customer.models.contains(&model.name))
             .ok_or_else(|| unknown_model(&request.model))?;
-        let start = RunStart {
+        let params = RunParams {
             compiled: compiled.clone(),
             customer: customer.clone(),
             model: model.clone(),
@@ -51,34 +51,35 @@
             id: id.clone(),
             deadline: *deadline,
         };
-        let run = Run::new(self.clone(), start);
-        let writer = Writer::new(style, run.id(), &run.request().model);
+        let run = Run::new(self.clone(), params);
+        let writer = CompletionWriter::new(style, run.id(), &run.request().model);
         match run.request().stream {
             true => self.stream(admitted, run, writer).await,
             false => collect(run, writer).await,
         }
     }
 
-    /// Streams an answer; it begins once the first text has come.
+    /// Streams a response.
     ///
-    /// Until then nothing is sent, so that a refusal still has its own status.
+    /// Nothing is sent until the first output has arrived, so that a rejection can
+    /// still be returned with its own status code.
     async fn stream(
         self: Arc<Self>,
         admitted: Admitted<P, K>,
         mut run: Run<P, K>,
-        writer: Writer,
+        writer: CompletionWriter,
     ) -> Result<Response<OutBody>, ApiError> {
         let first = run.next().await?;
-        let (pieces, body) = mpsc::channel(UNREAD_EVENTS);
-        let unread = Duration::from_millis(self.limits.unread_ms);
-        let metrics_of = self.clone();
-        let sending = async move {
-            let end = send_stream(&mut run, &writer, first, &pieces, unread).await;
-            metrics_of.node.metrics.count_answer(end);
-            // The customer's place is held until its stream is over.
+        let (pieces, body) = mpsc::channel(MAX_BUFFERED_EVENTS);
+        let write_timeout = Duration::from_millis(self.limits.unread_ms);
+        let entry = self.clone();
+        let send = async move {
+            let end = send_stream(&mut run, &writer, first, &pieces, write_timeout).await;
+            entry.node.metrics.count_answer(end);
+            // The customer's concurrency slot is held until the stream ends.
             drop(admitted);
         };
-        self.tasks.spawn(sending);
+        self.tasks.spawn(send);
         let response = Response::builder()
             .header(CONTENT_TYPE, "text/event-stream")
             .header(CACHE_CONTROL, "no-cache")
@@ -87,57 +88,58 @@
     }
 }
 
-/// Sends a stream to its end; returns the code under which it is counted.
+/// Sends a stream until it ends; returns the code under which it is counted.
 async fn send_stream<P: Platform, K: Knowledge>(
     run: &mut Run<P, K>,
-    writer: &Writer,
-    first: Output,
+    writer: &CompletionWriter,
+    first: RunOutput,
     pieces: &mpsc::Sender<BodyPiece>,
-    unread: Duration,
+    write_timeout: Duration,
 ) -> &'static str {
     let include_usage = run.request().include_usage;
     let mut output = Ok(first);
     let mut is_first = true;
     loop {
         let (bytes, last) = match &output {
-            Ok(Output::Text(text)) => (writer.text(text, is_first), None),
-            Ok(Output::End(end)) => (writer.end(end, include_usage), Some("ok")),
+            Ok(RunOutput::Text(text)) => (writer.text(text, is_first), None),
+            Ok(RunOutput::End(end)) => (writer.end(end, include_usage), Some("ok")),
             Err(error) => (writer.error(error), Some("stream_interrupted")),
         };
         is_first = false;
-        if !send_piece(pieces, BodyPiece::Data(bytes), unread).await {
+        if !send_piece(pieces, BodyPiece::Data(bytes), write_timeout).await {
             return "caller_gone";
         }
         if let Some(code) = last {
-            send_piece(pieces, BodyPiece::End, unread).await;
+            send_piece(pieces, BodyPiece::End, write_timeout).await;
             return code;
         }
         output = run.next().await;
     }
 }
 
-/// Sends a piece; returns false if the caller is gone or does not read.
+/// Sends a piece of the body; returns false if the caller has disconnected or does
+/// not read within `write_timeout`.
 ///
-/// A caller that stops reading would hold its place at the engine for ever.
+/// Without the timeout, a caller that stops reading would occupy the engine forever.
 async fn send_piece(
     pieces: &mpsc::Sender<BodyPiece>,
     piece: BodyPiece,
-    unread: Duration,
+    write_timeout: Duration,
 ) -> bool {
-    matches!(timeout(unread, pieces.send(piece)).await, Ok(Ok(())))
+    matches!(timeout(write_timeout, pieces.send(piece)).await, Ok(Ok(())))
 }
 
-/// Collects an answer that is not streamed.
+/// Collects a response that is not streamed.
 async fn collect<P: Platform, K: Knowledge>(
     mut run: Run<P, K>,
-    writer: Writer,
+    writer: CompletionWriter,
 ) -> Result<Response<OutBody>, ApiError> {
     let mut text = String::new();
     loop {
         match run.next().await? {
-            Output::Text(more) => text.push_str(&more),
-            Output::End(end) => {
-                let body = Bytes::from(writer.whole(&text, &end));
+            RunOutput::Text(piece) => text.push_str(&piece),
+            RunOutput::End(end) => {
+                let body = Bytes::from(writer.full_response(&text, &end));
                 let response = Response::builder()
                     .header(CONTENT_TYPE, "application/json")
                     .body(OutBody::whole(body));
--- a/crates/bilberry-entry/src/fleet.rs
+++ b/crates/bilberry-entry/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Asking all processes at once, for operators.
+//! Queries to all processes, for the administration API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,76 +15,77 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How long one process may take to answer.
-const ASK_WAIT: Duration = Duration::from_millis(2_000);
+/// The time to wait for the answer of a process.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// How many events one process is asked for.
-const MOST_EVENTS: u32 = 1_000;
+/// The maximum number of events to request from a process.
+const MAX_EVENTS: u32 = 1_000;
 
-/// The state of one process.
+/// The status of a process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessStatus {
-    /// The process.
+    /// The name of the process.
     pub process: String,
     /// `entry` or `sidecar`.
     pub role: String,
-    /// The upstream of a sidecar.
+    /// The upstream of a sidecar; empty for an entry.
     pub upstream: String,
-    /// Where peers reach it.
+    /// The address for peers.
     pub address: String,
-    /// Whether it answered.
+    /// Whether the process answered.
     pub answers: bool,
-    /// Whether it takes no new work any more.
+    /// Whether it has stopped accepting new requests.
     pub leaving: bool,
     /// The configuration revision in force.
     pub revision: u64,
-    /// The requests in progress.
+    /// The number of requests in progress.
     pub in_progress: u64,
-    /// The requests that wait.
+    /// The number of queued requests.
     pub queued: u64,
-    /// The blocks in a sidecar's index.
+    /// The number of blocks in a sidecar's cache index.
     pub cached_blocks: u64,
-    /// The weights that an engine runs.
+    /// The weights that the engine runs.
     pub weights: String,
-    /// Whether the platform answers it.
+    /// Whether the process can reach the platform.
     pub platform_ok: bool,
 }
 
-/// One event of the time line.
+/// An event of the timeline.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct EventLine {
-    /// The hybrid logical stamp, which orders the line.
+pub struct TimelineEvent {
+    /// The hybrid logical timestamp, by which the timeline is ordered.
     pub hlc: u64,
-    /// The wall-clock part of the stamp.
+    /// The wall-clock part of the timestamp.
     pub unix_ms: u64,
-    /// The process.
+    /// The name of the process.
     pub process: String,
-    /// The request; empty for an event of the process itself.
+    /// The ID of the request; empty for an event of the process itself.
     pub request: String,
-    /// What happened.
+    /// The kind of event.
     pub what: String,
     /// The details.
     pub detail: String,
 }
 
-/// Asks all members for their state.
+/// Queries the status of all members.
 pub(crate) async fn fleet_status(node: &Node, links: &Links) -> Vec<ProcessStatus> {
     let members = node.members.current();
-    let mut asking: FuturesUnordered<_> = members
+    let mut queries: FuturesUnordered<_> = members
         .by_process
         .values()
         .map(|member| async move {
             let body = Body::StatusAsk(true);
-            let asked = match member.address.parse::<SocketAddr>() {
-                Ok(address) => links.ask(address, body, ASK_WAIT).await.ok(),
+            let response = match member.address.parse::<SocketAddr>() {
+                Ok(address) => links.ask(address, body, QUERY_TIMEOUT).await.ok(),
                 Err(_) => None,
             };
-            let answer = match asked {
+            let answer = match response {
                 Some(Body::StatusAnswer(answer)) => Some(answer),
                 _ => None,
             };
             let answers = answer.is_some();
-            let StatusAnswer { member: said, .. } = answer.clone().unwrap_or_default();
+            let StatusAnswer { member: reported, .. } =
+                answer.clone().unwrap_or_default();
             let answer = answer.unwrap_or_default();
             let role = if member.role() == Role::Entry { "entry" } else { "sidecar" };
             ProcessStatus {
@@ -93,7 +94,7 @@
                 upstream: member.upstream.clone(),
                 address: member.address.clone(),
                 answers,
-                leaving: said.map_or(member.leaving, |said| said.leaving),
+                leaving: reported.map_or(member.leaving, |reported| reported.leaving),
                 revision: answer.revision,
                 in_progress: answer.in_progress,
                 queued: answer.queued,
@@ -103,39 +104,39 @@
             }
         })
         .collect();
-    let mut found = Vec::new();
-    while let Some(status) = asking.next().await {
-        found.push(status);
+    let mut statuses = Vec::new();
+    while let Some(status) = queries.next().await {
+        statuses.push(status);
     }
-    found.sort_by(|a, b| a.process.cmp(&b.process));
-    found
+    statuses.sort_by(|a, b| a.process.cmp(&b.process));
+    statuses
 }
 
-/// Merges the events of all members into one causally ordered line.
+/// Merges the events of all members into a causally ordered timeline.
 pub(crate) async fn fleet_events(
     node: &Node,
     links: &Links,
     request: &str,
-) -> Vec<EventLine> {
-    let ask = EventsAsk { request: request.to_string(), most: MOST_EVENTS };
+) -> Vec<TimelineEvent> {
+    let ask = EventsAsk { request: request.to_string(), most: MAX_EVENTS };
     let others = node.members.current().others(&node.process());
-    let mut asking: FuturesUnordered<_> = others
+    let mut queries: FuturesUnordered<_> = others
         .into_iter()
-        .map(|peer| links.ask(peer, Body::EventsAsk(ask.clone()), ASK_WAIT))
+        .map(|peer| links.ask(peer, Body::EventsAsk(ask.clone()), QUERY_TIMEOUT))
         .collect();
-    let mut events = node.events.recent(request, MOST_EVENTS as usize);
-    while let Some(answer) = asking.next().await {
+    let mut events = node.events.recent(request, MAX_EVENTS as usize);
+    while let Some(answer) = queries.next().await {
         if let Ok(Body::EventsAnswer(answer)) = answer {
             events.extend(answer.events);
         }
     }
-    let mut line: Vec<_> = events.into_iter().map(event_line).collect();
-    line.sort();
-    line
+    let mut timeline: Vec<_> = events.into_iter().map(timeline_event).collect();
+    timeline.sort();
+    timeline
 }
 
-fn event_line(event: Event) -> EventLine {
-    EventLine {
+fn timeline_event(event: Event) -> TimelineEvent {
+    TimelineEvent {
         hlc: event.hlc,
         unix_ms: bilberry_core::Hlc(event.hlc).unix_ms(),
         process: event.process,
--- a/crates/bilberry-entry/src/http_api.rs
+++ b/crates/bilberry-entry/src/http_api.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface for callers.
+//! The HTTP API for callers.
 
 use std::sync::Arc;
 
@@ -26,11 +26,11 @@
 use crate::Knowledge;
 use crate::auth::authenticate;
 
-/// The header that names a request in answers, logs and the time line.
+/// The header that identifies a request in responses, logs and the timeline.
 const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// The longest request name that is taken from a caller.
-const REQUEST_ID_BYTES: usize = 64;
+/// The maximum length of a request ID set by the caller.
+const MAX_REQUEST_ID_BYTES: usize = 64;
 
 #[derive(Serialize)]
 struct ModelList<'a> {
@@ -48,8 +48,8 @@
 impl<P: Platform, K: Knowledge> HttpHandler for Entry<P, K> {
     async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
         let id = request_id(request.headers());
-        let answered = self.clone().dispatch(request, &id).await;
-        let mut response = match answered {
+        let result = self.clone().dispatch(request, &id).await;
+        let mut response = match result {
             Ok(response) => response,
             Err(error) => {
                 self.node.metrics.count_answer(&error.code);
@@ -73,14 +73,14 @@
         let path = request.uri().path();
         match (request.method(), path) {
             (&Method::POST, "/v1/chat/completions") => {
-                self.take_completion(request, id, CompletionStyle::Chat).await
+                self.handle_completion(request, id, CompletionStyle::Chat).await
             }
             (&Method::POST, "/v1/completions") => {
-                self.take_completion(request, id, CompletionStyle::Text).await
+                self.handle_completion(request, id, CompletionStyle::Text).await
             }
             (&Method::GET, "/v1/models") => self.list_models(request.headers()),
             (_, path) if path.starts_with("/services/") => {
-                self.take_plain(request, id).await
+                self.handle_service_call(request, id).await
             }
             (_, "/v1/chat/completions" | "/v1/completions" | "/v1/models") => {
                 let message = "this path takes another method; use POST for completions";
@@ -93,7 +93,7 @@
         }
     }
 
-    async fn take_completion(
+    async fn handle_completion(
         self: Arc<Self>,
         request: Request<Incoming>,
         id: &str,
@@ -104,17 +104,17 @@
         self.complete(admitted, style, &body).await
     }
 
-    /// Reads the body of a request within the limits.
+    /// Reads the body of a request, within the limits on size and time.
     pub(crate) async fn read(
         &self,
         request: Request<Incoming>,
     ) -> Result<Bytes, ApiError> {
-        let most = self.limits.body_bytes;
-        // A body that says it is too long is refused before it is read.
-        if request.body().size_hint().lower() > most as u64 {
-            return Err(body_error(ReadBodyError::TooLarge(most)));
+        let max_bytes = self.limits.body_bytes;
+        // A body whose declared length exceeds the limit is rejected before it is read.
+        if request.body().size_hint().lower() > max_bytes as u64 {
+            return Err(body_error(ReadBodyError::TooLarge(max_bytes)));
         }
-        let read = read_body(request.into_body(), most, self.limits.body_ms).await;
+        let read = read_body(request.into_body(), max_bytes, self.limits.body_ms).await;
         read.map_err(body_error)
     }
 
@@ -137,15 +137,15 @@
     ApiError::not_run(kind, code, error.to_string())
 }
 
-/// Returns the caller's name for its request, or a random one.
+/// Returns the request ID set by the caller if it is valid, or a random one.
 fn request_id(headers: &HeaderMap) -> String {
     let given = headers.get(REQUEST_ID_HEADER).and_then(|value| value.to_str().ok());
-    let is_plain = |text: &&str| {
+    let is_valid = |text: &&str| {
         !text.is_empty()
-            && text.len() <= REQUEST_ID_BYTES
+            && text.len() <= MAX_REQUEST_ID_BYTES
             && text.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
     };
-    match given.filter(is_plain) {
+    match given.filter(is_valid) {
         Some(id) => id.to_string(),
         None => format!("{:016x}", rand::random::<u64>()),
     }
--- a/crates/bilberry-entry/src/plain.rs
+++ b/crates/bilberry-entry/src/plain.rs
@@ -1,4 +1,4 @@
-//! Serving calls to plain services, some of which run at most once.
+//! Handling of calls to plain services, including those that run at most once.
 
 mod attempt;
 mod claimed;
@@ -15,27 +15,27 @@
 use hyper::body::Incoming;
 use hyper::header::CONTENT_TYPE;
 
-use self::attempt::Attempted;
-use self::attempt::unclear;
+use self::attempt::AttemptOutcome;
+use self::attempt::outcome_unknown_error;
 use crate::ApiError;
 use crate::Entry;
 use crate::ErrorKind;
 use crate::Knowledge;
 use crate::entry::Admitted;
-use crate::replay::pass_on;
+use crate::replay::into_response;
 
-/// The header by which a repeated call is known.
-const KEY_HEADER: &str = "idempotency-key";
+/// The header that identifies repeats of a call.
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// The longest key.
-const KEY_BYTES: usize = 256;
+/// The maximum length of an idempotency key.
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
 
-/// How many attempts a repeatable call may have.
-const MOST_ATTEMPTS: usize = 3;
+/// The maximum number of attempts of a repeatable call.
+const MAX_ATTEMPTS: usize = 3;
 
 /// A call to a plain service.
 #[derive(Debug, Clone)]
-struct PlainAsk {
+struct ServiceCall {
     service: Arc<Service>,
     method: String,
     path: String,
@@ -45,41 +45,44 @@
 }
 
 impl<P: Platform, K: Knowledge> Entry<P, K> {
-    /// Takes a call in and serves it.
-    pub(crate) async fn take_plain(
+    /// Handles a call to a plain service.
+    pub(crate) async fn handle_service_call(
         self: Arc<Self>,
         request: Request<Incoming>,
         id: &str,
     ) -> Result<Response<OutBody>, ApiError> {
         let admitted = self.admit(request.headers(), id)?;
-        let ask = self.read_plain(&admitted, request).await?;
-        let once =
-            ask.service.non_repeatable_methods.contains(&ask.method.as_str().into());
-        // A call that may not be repeated goes on to its end and its record even
-        // if the caller goes away: it would be left unclear for no reason.
+        let call = self.read_call(&admitted, request).await?;
+        let non_repeatable =
+            call.service.non_repeatable_methods.contains(&call.method.as_str().into());
+        // The call runs in its own task, so that it completes and its outcome is
+        // recorded even if the caller disconnects. Otherwise the outcome of a
+        // non-repeatable call would be needlessly unknown.
         let entry = self.clone();
-        let serving = self.tasks.spawn(async move {
-            let answered = match (once, &ask.key) {
-                (false, _) => entry.call_repeatable(&admitted, &ask).await,
-                (true, Some(_)) => entry.call_claimed(&admitted, &ask).await,
-                (true, None) => entry.call_once(&admitted, &ask).await,
+        let task = self.tasks.spawn(async move {
+            let result = match (non_repeatable, &call.key) {
+                (false, _) => entry.call_repeatable(&admitted, &call).await,
+                (true, Some(_)) => entry.call_claimed(&admitted, &call).await,
+                (true, None) => entry.call_once(&admitted, &call).await,
             };
-            entry.node.events.record(&admitted.id, "answered", word_of(&answered));
-            answered
+            entry.node.events.record(&admitted.id, "answered", outcome_code(&result));
+            result
         });
-        let answered = serving.await;
-        answered.unwrap_or_else(|_| Err(unclear("internal", "the call was cut off")))
+        let result = task.await;
+        result.unwrap_or_else(|_| {
+            Err(outcome_unknown_error("internal", "the call was cut off"))
+        })
     }
 
-    async fn read_plain(
+    async fn read_call(
         &self,
         admitted: &Admitted<P, K>,
         request: Request<Incoming>,
-    ) -> Result<PlainAsk, ApiError> {
+    ) -> Result<ServiceCall, ApiError> {
         let rest = request.uri().path().strip_prefix("/services/").unwrap_or_default();
         let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
-        let known = admitted.compiled.services.get(&Name::from(name));
-        let service = known
+        let configured = admitted.compiled.services.get(&Name::from(name));
+        let service = configured
             .filter(|service| admitted.customer.services.contains(&service.name))
             .cloned()
             .ok_or_else(|| {
@@ -90,10 +93,10 @@
             Some(query) => format!("/{path}?{query}"),
             None => format!("/{path}"),
         };
-        let key = key_of(&request)?;
+        let key = idempotency_key(&request)?;
         let content_type = request.headers().get(CONTENT_TYPE);
         let content_type = content_type.and_then(|value| value.to_str().ok());
-        Ok(PlainAsk {
+        Ok(ServiceCall {
             service,
             method: request.method().to_string(),
             path,
@@ -103,54 +106,59 @@
         })
     }
 
-    /// Serves a call that may be repeated.
+    /// Executes a repeatable call, with retries.
     async fn call_repeatable(
         &self,
         admitted: &Admitted<P, K>,
-        ask: &PlainAsk,
+        call: &ServiceCall,
     ) -> Result<Response<OutBody>, ApiError> {
         self.retry_budget.lock().unwrap().earn();
         let mut tried = Vec::new();
         loop {
-            let error = match self.attempt(admitted, ask, &mut tried).await {
-                Attempted::Answered(answer) => return Ok(pass_on(answer)),
-                Attempted::NotRun(error) | Attempted::Unclear(error) => error,
+            let error = match self.attempt(admitted, call, &mut tried).await {
+                AttemptOutcome::Answered(answer) => return Ok(into_response(answer)),
+                AttemptOutcome::NotRun(error) | AttemptOutcome::Unknown(error) => error,
             };
-            let is_last = tried.len() >= MOST_ATTEMPTS || error.code == "no_upstream";
+            let is_last = tried.len() >= MAX_ATTEMPTS || error.code == "no_upstream";
             if is_last || !self.retry_budget.lock().unwrap().spend() {
                 return Err(error);
             }
         }
     }
 
-    /// Serves a call that may not be repeated and has no key: one dispatch.
+    /// Executes a call in a single attempt.
     async fn call_once(
         &self,
         admitted: &Admitted<P, K>,
-        ask: &PlainAsk,
+        call: &ServiceCall,
     ) -> Result<Response<OutBody>, ApiError> {
-        match self.attempt(admitted, ask, &mut Vec::new()).await {
-            Attempted::Answered(answer) => Ok(pass_on(answer)),
-            Attempted::NotRun(error) | Attempted::Unclear(error) => Err(error),
+        match self.attempt(admitted, call, &mut Vec::new()).await {
+            AttemptOutcome::Answered(answer) => Ok(into_response(answer)),
+            AttemptOutcome::NotRun(error) | AttemptOutcome::Unknown(error) => Err(error),
         }
     }
 }
 
-fn key_of(request: &Request<Incoming>) -> Result<Option<String>, ApiError> {
-    let Some(value) = request.headers().get(KEY_HEADER) else { return Ok(None) };
+fn idempotency_key(request: &Request<Incoming>) -> Result<Option<String>, ApiError> {
+    let Some(value) = request.headers().get(IDEMPOTENCY_KEY_HEADER) else {
+        return Ok(None);
+    };
     match value.to_str() {
-        Ok(key) if (1..=KEY_BYTES).contains(&key.len()) => Ok(Some(key.to_string())),
+        Ok(key) if (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&key.len()) => {
+            Ok(Some(key.to_string()))
+        }
         _ => {
             let message = format!(
-                "`Idempotency-Key` must have 1 to {KEY_BYTES} visible characters"
+                "`Idempotency-Key` must have 1 to {MAX_IDEMPOTENCY_KEY_BYTES} visible \
+                 characters"
             );
             Err(ApiError::not_run(ErrorKind::Invalid, "invalid_key", message))
         }
     }
 }
 
-fn word_of(answered: &Result<Response<OutBody>, ApiError>) -> String {
-    match answered {
+fn outcome_code(result: &Result<Response<OutBody>, ApiError>) -> String {
+    match result {
         Ok(response) => response.status().to_string(),
         Err(error) => error.code.clone(),
     }
--- a/crates/bilberry-entry/src/plain/attempt.rs
+++ b/crates/bilberry-entry/src/plain/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one server of a plain service.
+//! A single attempt of a call to a plain service.
 
 use bilberry_core::Clock;
 use bilberry_core::Name;
@@ -20,74 +20,76 @@
 use crate::Knowledge;
 use crate::RouteRequest;
 use crate::entry::Admitted;
-use crate::plain::PlainAsk;
+use crate::plain::ServiceCall;
 
-/// How one attempt at a service ended.
-pub(super) enum Attempted {
+/// The outcome of an attempt.
+pub(super) enum AttemptOutcome {
     Answered(PlainAnswer),
     NotRun(ApiError),
-    Unclear(ApiError),
+    Unknown(ApiError),
 }
 
 impl<P: Platform, K: Knowledge> Entry<P, K> {
-    /// Makes one attempt at one upstream.
+    /// Makes one attempt at one upstream, which is added to `tried`.
     pub(super) async fn attempt(
         &self,
         admitted: &Admitted<P, K>,
-        ask: &PlainAsk,
+        service_call: &ServiceCall,
         tried: &mut Vec<Name>,
-    ) -> Attempted {
-        let route = route_ask(admitted, ask, tried);
+    ) -> AttemptOutcome {
+        let route = route_request(admitted, service_call, tried);
         let choice = self.router.route(&admitted.compiled, &route).await;
         let Some(choice) = choice else {
             let message = "no server of the service takes calls; come back later";
             let kind = ErrorKind::Unavailable;
             let error = ApiError::not_run(kind, "no_upstream", message)
                 .retry_after(retry_after_ms(0, rand::random()));
-            return Attempted::NotRun(error);
+            return AttemptOutcome::NotRun(error);
         };
         tried.push(choice.upstream.clone());
         self.node.metrics.upstream_calls.inc();
         self.node.events.record(&admitted.id, "sent", choice.upstream.as_str());
-        let dispatch = dispatch(admitted, ask);
+        let dispatch = dispatch(admitted, service_call);
         let sent = self.links.call(choice.address, Body::Dispatch(dispatch)).await;
         let mut call = match sent {
             Ok(call) => call,
             Err(error) => {
                 self.router.record_failure(&choice.upstream);
-                return of_link_error(error);
+                return link_error_outcome(error);
             }
         };
         loop {
             let left = admitted.deadline.left(SystemClock.now());
             match timeout(left, call.next()).await {
-                Ok(Ok(Body::PlainAnswer(answer))) => return Attempted::Answered(answer),
+                Ok(Ok(Body::PlainAnswer(answer))) => {
+                    return AttemptOutcome::Answered(answer);
+                }
                 Ok(Ok(Body::Refused(refused))) if refused.may_have_run => {
-                    return Attempted::Unclear(ApiError::of_refusal(&refused));
+                    return AttemptOutcome::Unknown(ApiError::from_refusal(&refused));
                 }
                 Ok(Ok(Body::Refused(refused))) => {
-                    return Attempted::NotRun(ApiError::of_refusal(&refused));
+                    return AttemptOutcome::NotRun(ApiError::from_refusal(&refused));
                 }
                 Ok(Ok(_)) => {}
                 Ok(Err(error)) => {
                     self.router.record_failure(&choice.upstream);
-                    return of_link_error(error);
+                    return link_error_outcome(error);
                 }
-                Err(_) => return Attempted::Unclear(late()),
+                Err(_) => return AttemptOutcome::Unknown(deadline_error()),
             }
         }
     }
 }
 
-fn route_ask<P: Platform, K: Knowledge>(
+fn route_request<P: Platform, K: Knowledge>(
     admitted: &Admitted<P, K>,
-    ask: &PlainAsk,
+    service_call: &ServiceCall,
     tried: &[Name],
 ) -> RouteRequest {
     let customer = &admitted.customer;
     RouteRequest {
         request: admitted.id.clone(),
-        pool: ask.service.pool.clone(),
+        pool: service_call.service.pool.clone(),
         customer: customer.name.clone(),
         priority: customer.priority,
         scope: Scope {
@@ -104,7 +106,7 @@
 
 fn dispatch<P: Platform, K: Knowledge>(
     admitted: &Admitted<P, K>,
-    ask: &PlainAsk,
+    service_call: &ServiceCall,
 ) -> Dispatch {
     Dispatch {
         request: admitted.id.clone(),
@@ -114,19 +116,19 @@
         weight: admitted.customer.weight,
         priority: u32::from(admitted.customer.priority),
         deadline_unix_ms: admitted.deadline.0,
-        method: ask.method.clone(),
-        path: ask.path.clone(),
-        content_type: ask.content_type.clone(),
-        body: ask.body.clone(),
-        idempotency_key: ask.key.clone().unwrap_or_default(),
+        method: service_call.method.clone(),
+        path: service_call.path.clone(),
+        content_type: service_call.content_type.clone(),
+        body: service_call.body.clone(),
+        idempotency_key: service_call.key.clone().unwrap_or_default(),
         ..Dispatch::default()
     }
 }
 
-fn of_link_error(error: LinkError) -> Attempted {
+fn link_error_outcome(error: LinkError) -> AttemptOutcome {
     match error {
-        // Only a frame that never left proves that nothing ran.
-        LinkError::Unreachable(_) => Attempted::NotRun(
+        // Only if the frame was not sent is it certain that the call did not run.
+        LinkError::Unreachable(_) => AttemptOutcome::NotRun(
             ApiError::not_run(
                 ErrorKind::Unavailable,
                 "upstream_unreachable",
@@ -134,17 +136,17 @@
             )
             .retry_after(retry_after_ms(0, rand::random())),
         ),
-        LinkError::Lost(_) | LinkError::Late(_) => {
-            Attempted::Unclear(unclear("upstream_lost", &error.to_string()))
-        }
+        LinkError::Lost(_) | LinkError::Late(_) => AttemptOutcome::Unknown(
+            outcome_unknown_error("upstream_lost", &error.to_string()),
+        ),
     }
 }
 
-pub(super) fn unclear(code: &str, message: &str) -> ApiError {
+pub(super) fn outcome_unknown_error(code: &str, message: &str) -> ApiError {
     ApiError::may_have_run(code, message).retry_after(retry_after_ms(0, rand::random()))
 }
 
-fn late() -> ApiError {
+fn deadline_error() -> ApiError {
     let message = "the deadline passed; ask again with the same key for the outcome";
     let error = ApiError::not_run(ErrorKind::Deadline, "deadline_passed", message);
     error
--- a/crates/bilberry-entry/src/plain/claimed.rs
+++ b/crates/bilberry-entry/src/plain/claimed.rs
@@ -1,4 +1,4 @@
-//! Calls that run at most once, under the key that their caller gave them.
+//! Calls that run at most once, identified by an idempotency key from the caller.
 
 use bilberry_core::Claim;
 use bilberry_core::ClaimState;
@@ -15,68 +15,70 @@
 use crate::ErrorKind;
 use crate::Knowledge;
 use crate::entry::Admitted;
-use crate::plain::PlainAsk;
-use crate::plain::attempt::Attempted;
-use crate::replay::pass_on;
-use crate::replay::recorded;
-use crate::replay::repeat_answer;
+use crate::plain::ServiceCall;
+use crate::plain::attempt::AttemptOutcome;
+use crate::replay::into_response;
+use crate::replay::recorded_answer;
+use crate::replay::respond_to_repeat;
 
 impl<P: Platform, K: Knowledge> Entry<P, K> {
-    /// Serves a call that may not be repeated, under its key.
+    /// Executes a non-repeatable call under a claim on its key.
     pub(super) async fn call_claimed(
         &self,
         admitted: &Admitted<P, K>,
-        ask: &PlainAsk,
+        call: &ServiceCall,
     ) -> Result<Response<OutBody>, ApiError> {
-        let key = ask.key.as_deref().unwrap_or_default();
+        let key = call.key.as_deref().unwrap_or_default();
         let customer = &admitted.customer.name;
-        let object = Claims::<P>::object_key(&ask.service.name, customer, key);
+        let object = Claims::<P>::object_key(&call.service.name, customer, key);
         let claim = Claim {
             attempt: format!("{:032x}", rand::random::<u128>()),
-            request_hash: request_hash(ask),
+            request_hash: request_hash(call),
             deadline: admitted.deadline,
             state: ClaimState::Running,
         };
         let version = match self.claims.claim(&object, &claim).await {
             Ok(ClaimOutcome::Acquired(version)) => version,
-            Ok(ClaimOutcome::Existing(verdict)) => return repeat_answer(verdict),
+            Ok(ClaimOutcome::Existing(verdict)) => return respond_to_repeat(verdict),
             Err(error) => {
-                return self.without_claim(admitted, ask, object, claim, error).await;
+                return self
+                    .handle_claim_failure(admitted, call, object, claim, error)
+                    .await;
             }
         };
         self.node.events.record(&admitted.id, "claimed", &object);
-        let attempted = self.attempt(admitted, ask, &mut Vec::new()).await;
-        let (state, answered) = match attempted {
-            Attempted::Answered(answer) => {
-                (ClaimState::Done(recorded(&answer)), Ok(pass_on(answer)))
+        let outcome = self.attempt(admitted, call, &mut Vec::new()).await;
+        let (state, result) = match outcome {
+            AttemptOutcome::Answered(answer) => {
+                (ClaimState::Done(recorded_answer(&answer)), Ok(into_response(answer)))
             }
-            Attempted::NotRun(error) => (ClaimState::NotRun, Err(error)),
-            Attempted::Unclear(error) => (ClaimState::Unclear, Err(error)),
+            AttemptOutcome::NotRun(error) => (ClaimState::NotRun, Err(error)),
+            AttemptOutcome::Unknown(error) => (ClaimState::Unclear, Err(error)),
         };
         let claim = Claim { state, ..claim };
         if self.claims.record(&object, &claim, version).await.is_err() {
             let claims = self.claims.clone();
             self.tasks.spawn(claims.record_with_retries(object, claim, version));
         }
-        answered
+        result
     }
 
-    /// Serves or refuses a call while the platform can't keep its claim.
-    async fn without_claim(
+    /// Executes or rejects a call whose claim could not be written.
+    async fn handle_claim_failure(
         &self,
         admitted: &Admitted<P, K>,
-        ask: &PlainAsk,
+        call: &ServiceCall,
         object: String,
         claim: Claim,
         error: PlatformError,
     ) -> Result<Response<OutBody>, ApiError> {
-        // A claim whose answer was lost may stand; running without it could meet
-        // a repeat of the key that finds no claim and runs as well.
-        let may_stand = matches!(error, PlatformError::Unclear(_));
-        if ask.service.run_without_claim && !may_stand {
-            return self.call_once(admitted, ask).await;
+        // A claim whose write had no response may or may not be stored. If the call
+        // ran anyway, a repeat of its key could find no claim and run as well.
+        let may_be_stored = matches!(error, PlatformError::Unclear(_));
+        if call.service.run_without_claim && !may_be_stored {
+            return self.call_once(admitted, call).await;
         }
-        if may_stand {
+        if may_be_stored {
             let claims = self.claims.clone();
             self.tasks.spawn(claims.release_with_retries(object, claim));
         }
@@ -88,9 +90,9 @@
     }
 }
 
-fn request_hash(ask: &PlainAsk) -> String {
+fn request_hash(call: &ServiceCall) -> String {
     let mut hasher = blake3::Hasher::new();
-    for part in [ask.method.as_bytes(), ask.path.as_bytes(), &ask.body] {
+    for part in [call.method.as_bytes(), call.path.as_bytes(), &call.body] {
         hasher.update(&(part.len() as u64).to_le_bytes());
         hasher.update(part);
     }
--- a/crates/bilberry-entry/src/replay.rs
+++ b/crates/bilberry-entry/src/replay.rs
@@ -1,4 +1,4 @@
-//! Answers of plain services: passed on, kept, and given again.
+//! Conversion, recording and replay of answers from plain services.
 
 use base64::Engine as _;
 use base64::prelude::BASE64_STANDARD;
@@ -16,21 +16,21 @@
 use crate::ApiError;
 use crate::ErrorKind;
 
-/// The largest answer of which a copy is kept with its claim.
-const KEPT_ANSWER_BYTES: usize = 64 * 1024;
+/// The maximum size of an answer that is recorded with its claim.
+const MAX_RECORDED_ANSWER_BYTES: usize = 64 * 1024;
 
-/// Returns the copy of an answer that is kept with its claim.
-pub(crate) fn recorded(answer: &PlainAnswer) -> RecordedAnswer {
-    let kept = answer.body.len() <= KEPT_ANSWER_BYTES;
+/// Returns the record of an answer to store with its claim.
+pub(crate) fn recorded_answer(answer: &PlainAnswer) -> RecordedAnswer {
+    let is_recorded = answer.body.len() <= MAX_RECORDED_ANSWER_BYTES;
     RecordedAnswer {
         status: answer.status as u16,
         content_type: answer.content_type.clone(),
-        body_base64: kept.then(|| BASE64_STANDARD.encode(&answer.body)),
+        body_base64: is_recorded.then(|| BASE64_STANDARD.encode(&answer.body)),
     }
 }
 
-/// Answers a key that was used before.
-pub(crate) fn repeat_answer(
+/// Responds to a call whose key was used before.
+pub(crate) fn respond_to_repeat(
     verdict: RepeatVerdict,
 ) -> Result<Response<OutBody>, ApiError> {
     let conflict = |code, message, run_state| {
@@ -57,21 +57,22 @@
 }
 
 fn replay(answer: RecordedAnswer) -> Result<Response<OutBody>, ApiError> {
-    let kept = answer.body_base64.and_then(|text| BASE64_STANDARD.decode(text).ok());
-    let Some(body) = kept else {
+    let recorded_body =
+        answer.body_base64.and_then(|text| BASE64_STANDARD.decode(text).ok());
+    let Some(body) = recorded_body else {
         let message = "the call ran; its answer was too large to be kept";
         let error = ApiError::not_run(ErrorKind::Conflict, "answer_not_kept", message);
         return Err(error.with_run_state(RunState::Ran));
     };
-    Ok(pass_on(PlainAnswer {
+    Ok(into_response(PlainAnswer {
         status: u32::from(answer.status),
         content_type: answer.content_type,
         body: body.into(),
     }))
 }
 
-/// Passes a service's answer on to the caller.
-pub(crate) fn pass_on(answer: PlainAnswer) -> Response<OutBody> {
+/// Converts the answer of a service into an HTTP response.
+pub(crate) fn into_response(answer: PlainAnswer) -> Response<OutBody> {
     let status = u16::try_from(answer.status).unwrap_or(502);
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::builder().status(status);
--- a/crates/bilberry-entry/src/request.rs
+++ b/crates/bilberry-entry/src/request.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's completion request.
+//! Parsing of completion requests.
 
 use bilberry_core::Name;
 use bytes::Bytes;
@@ -9,17 +9,17 @@
 use crate::ErrorKind;
 use crate::render_prompt;
 
-/// Fields that only the router may set towards an engine.
+/// Fields of engine requests that callers cannot set.
 ///
-/// A caller that chose its own salt could meet another customer's blocks; one
-/// that chose its priority would overtake others.
+/// With a salt of its choice, a caller could access cached blocks of another
+/// customer; with a priority of its choice, it could overtake other customers.
 const RESERVED_FIELDS: [&str; 5] =
     ["cache_salt", "priority", "resume_text", "stream", "stream_options"];
 
-/// The most tokens that an answer may have.
-const MOST_TOKENS: u64 = 65_536;
+/// The maximum number of output tokens that a caller may request.
+const MAX_OUTPUT_TOKENS: u64 = 65_536;
 
-/// Which of the two interfaces a caller uses.
+/// The API of a completion request.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum CompletionStyle {
     /// `/v1/chat/completions`.
@@ -28,27 +28,27 @@
     Text,
 }
 
-/// A caller's completion request.
+/// A parsed completion request.
 #[derive(Debug, Clone)]
 pub struct CompletionRequest {
-    /// The interface.
+    /// The API.
     pub style: CompletionStyle,
     /// The model.
     pub model: Name,
-    /// The text whose prefixes are compared.
+    /// The prompt text, for matching cached prefixes.
     pub prompt: String,
     /// The JSON object for the engine, without reserved fields.
     pub body: Bytes,
-    /// Whether the caller wants a stream.
+    /// Whether the response is streamed.
     pub stream: bool,
-    /// Whether the caller wants the usage at the end of its stream.
+    /// Whether the stream ends with the token usage.
     pub include_usage: bool,
-    /// How many tokens the answer may have, if the caller says so.
+    /// The maximum number of output tokens, if set by the caller.
     pub max_tokens: Option<u32>,
 }
 
 impl CompletionStyle {
-    /// Returns the path of the interface.
+    /// Returns the path of the API.
     pub fn path(self) -> &'static str {
         match self {
             Self::Chat => "/v1/chat/completions",
@@ -81,7 +81,7 @@
         for field in RESERVED_FIELDS {
             fields.remove(field);
         }
-        let body = serde_json::to_vec(&fields).expect("a parsed object serialises");
+        let body = serde_json::to_vec(&fields).expect("a parsed object is serializable");
         Ok(Self {
             style,
             model: model.into(),
@@ -133,10 +133,11 @@
     match given {
         None | Some(Value::Null) => Ok(None),
         Some(value) => match value.as_u64() {
-            Some(tokens @ 1..=MOST_TOKENS) => Ok(Some(tokens as u32)),
+            Some(tokens @ 1..=MAX_OUTPUT_TOKENS) => Ok(Some(tokens as u32)),
             _ => {
-                let message =
-                    format!("`max_tokens` must be a whole number in 1 to {MOST_TOKENS}");
+                let message = format!(
+                    "`max_tokens` must be a whole number in 1 to {MAX_OUTPUT_TOKENS}"
+                );
                 Err(invalid("invalid_field", message))
             }
         },
--- a/crates/bilberry-entry/src/run.rs
+++ b/crates/bilberry-entry/src/run.rs
@@ -1,4 +1,4 @@
-//! One completion over all its attempts.
+//! Execution of a completion over one or more attempts.
 
 mod attempt;
 mod errors;
@@ -26,44 +26,44 @@
 use crate::Entry;
 use crate::Knowledge;
 
-/// How many attempts one request may have.
-const MOST_ATTEMPTS: u32 = 4;
+/// The maximum number of attempts per request.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// What a run yields.
+/// An output of a run.
 #[derive(Debug)]
-pub(crate) enum Output {
-    /// The next text.
+pub(crate) enum RunOutput {
+    /// A piece of text.
     Text(String),
-    /// The end.
+    /// The end of the completion.
     End(Finished),
 }
 
-/// One completion in progress.
+/// A completion in progress.
 ///
-/// Dropping it cancels the live attempt down to the engine.
+/// Dropping it cancels the current attempt, including its request at the engine.
 pub(crate) struct Run<P: Platform, K: Knowledge> {
     entry: Arc<Entry<P, K>>,
-    start: RunStart,
+    params: RunParams,
     cursor: StreamCursor,
     attempts: u32,
     delivered_in_attempt: u64,
-    /// The weights that began the answer.
+    /// The weights last reported for the answer.
     weights: Option<Name>,
-    /// Upstreams that lost or refused the request since the last pause.
+    /// The upstreams that lost or rejected the request since the last wait.
     tried: Vec<Name>,
-    /// Whether an upstream was lost, so that waiting for it may help.
-    lost_any: bool,
-    /// Whether an attempt that was lost may have run.
+    /// Whether an upstream was lost, in which case it may become available again.
+    any_lost: bool,
+    /// Whether a lost attempt may have run.
     may_have_run: bool,
-    /// What the last upstream said that refused.
-    refusal: Option<ApiError>,
-    pauses: u32,
-    live: Option<Attempt<P, K>>,
+    /// The error of the last rejection.
+    last_rejection: Option<ApiError>,
+    waits: u32,
+    current: Option<Attempt<P, K>>,
 }
 
-/// Who asks, for what, until when.
+/// The parameters of a run.
 #[derive(Debug)]
-pub(crate) struct RunStart {
+pub(crate) struct RunParams {
     pub(crate) compiled: Arc<Compiled>,
     pub(crate) customer: Arc<Customer>,
     pub(crate) model: Arc<Model>,
@@ -73,42 +73,42 @@
 }
 
 impl<P: Platform, K: Knowledge> Run<P, K> {
-    pub(crate) fn new(entry: Arc<Entry<P, K>>, start: RunStart) -> Self {
+    pub(crate) fn new(entry: Arc<Entry<P, K>>, params: RunParams) -> Self {
         entry.node.metrics.requests.inc();
         entry.retry_budget.lock().unwrap().earn();
         Self {
             entry,
-            start,
+            params,
             cursor: StreamCursor::new(),
             attempts: 0,
             delivered_in_attempt: 0,
             weights: None,
             tried: Vec::new(),
-            lost_any: false,
+            any_lost: false,
             may_have_run: false,
-            refusal: None,
-            pauses: 0,
-            live: None,
+            last_rejection: None,
+            waits: 0,
+            current: None,
         }
     }
 
     pub(crate) fn id(&self) -> &str {
-        &self.start.id
+        &self.params.id
     }
 
     pub(crate) fn request(&self) -> &CompletionRequest {
-        &self.start.request
+        &self.params.request
     }
 
-    /// Waits for the next output, trying again where that is safe.
-    pub(crate) async fn next(&mut self) -> Result<Output, ApiError> {
+    /// Waits for the next output and starts further attempts where this is safe.
+    pub(crate) async fn next(&mut self) -> Result<RunOutput, ApiError> {
         loop {
-            if self.live.is_none() {
+            if self.current.is_none() {
                 self.start_attempt().await?;
             }
-            let Some(live) = &mut self.live else { continue };
-            let left = self.start.deadline.left(SystemClock.now());
-            let message = match timeout(left, live.call.next()).await {
+            let Some(current) = &mut self.current else { continue };
+            let left = self.params.deadline.left(SystemClock.now());
+            let message = match timeout(left, current.call.next()).await {
                 Ok(message) => message,
                 Err(_) => return Err(self.deadline_error()),
             };
@@ -120,14 +120,14 @@
                     match self.cursor.accept(chunk.attempt, chunk.number, &chunk.text) {
                         Accept::Deliver => {
                             self.delivered_in_attempt += 1;
-                            return Ok(Output::Text(chunk.text));
+                            return Ok(RunOutput::Text(chunk.text));
                         }
                         Accept::Drop => {}
                         Accept::Gap => self.recover("a frame is missing")?,
                     }
                 }
-                // An end that does not match what came is no end: the missing
-                // frames would leave the caller with a shortened answer.
+                // If the number of chunks differs, frames were lost, and the caller
+                // would get a truncated answer.
                 Ok(Body::Finished(end)) if end.chunks != self.delivered_in_attempt => {
                     self.recover("the end does not match the frames")?;
                 }
@@ -142,46 +142,47 @@
         }
     }
 
-    /// Goes on with another attempt after the live one was lost.
+    /// Prepares another attempt after the current one was lost.
     ///
-    /// Completions are idempotent, so a lost one may run again. Attempts are
-    /// bounded, as a request that kills its engine would otherwise kill them all.
-    fn recover(&mut self, why: &str) -> Result<(), ApiError> {
-        if let Some(live) = self.live.take() {
-            self.entry.router.record_failure(&live.upstream);
-            self.tried.push(live.upstream.clone());
+    /// Completions are idempotent, so a lost one may run again. The number of attempts
+    /// is limited, as a request that crashes its engine would otherwise crash all.
+    fn recover(&mut self, reason: &str) -> Result<(), ApiError> {
+        if let Some(current) = self.current.take() {
+            self.entry.router.record_failure(&current.upstream);
+            self.tried.push(current.upstream.clone());
         }
-        self.lost_any = true;
+        self.any_lost = true;
         self.may_have_run = true;
-        self.entry.node.events.record(&self.start.id, "attempt_lost", why);
+        self.entry.node.events.record(&self.params.id, "attempt_lost", reason);
         match self.attempts {
-            MOST_ATTEMPTS.. => Err(self.give_up(why)),
+            MAX_ATTEMPTS.. => Err(self.lost_error(reason)),
             _ => Ok(()),
         }
     }
 
-    /// Goes on with another upstream after one refused, within the budget.
+    /// Prepares another attempt after a rejection, within the retry budget.
     fn try_another(&mut self, refused: &Refused) -> Result<(), ApiError> {
-        let Some(live) = self.live.take() else { return Ok(()) };
-        self.tried.push(live.upstream.clone());
-        // The upstream's own judgement of the request would be the same elsewhere.
-        let is_final = refused.upstream_status != 0 || self.attempts >= MOST_ATTEMPTS;
-        // An upstream that leaves is no overload, and must cost no caller a refusal.
-        let is_free = refused.code == "upstream_leaving";
-        let error = self.as_known(ApiError::of_refusal(refused));
-        if is_final || !(is_free || self.entry.retry_budget.lock().unwrap().spend()) {
+        let Some(current) = self.current.take() else { return Ok(()) };
+        self.tried.push(current.upstream.clone());
+        // Other upstreams would reject the request for the same reason.
+        let is_final = refused.upstream_status != 0 || self.attempts >= MAX_ATTEMPTS;
+        // A draining upstream is not a sign of overload and must not cause a rejection,
+        // so this retry does not count against the budget.
+        let is_draining = refused.code == "upstream_leaving";
+        let error = self.with_overall_run_state(ApiError::from_refusal(refused));
+        if is_final || !(is_draining || self.entry.retry_budget.lock().unwrap().spend()) {
             return Err(error);
         }
-        self.refusal = Some(error);
+        self.last_rejection = Some(error);
         Ok(())
     }
 
-    fn finish(&mut self, end: Finished) -> Output {
+    fn finish(&mut self, end: Finished) -> RunOutput {
         let metrics = &self.entry.node.metrics;
         metrics.prompt_tokens.inc_by(end.prompt_tokens);
         metrics.cached_tokens.inc_by(end.cached_tokens);
-        self.entry.node.events.record(&self.start.id, "finished", end.reason.clone());
-        self.live = None;
-        Output::End(end)
+        self.entry.node.events.record(&self.params.id, "finished", end.reason.clone());
+        self.current = None;
+        RunOutput::End(end)
     }
 }
--- a/crates/bilberry-entry/src/run/attempt.rs
+++ b/crates/bilberry-entry/src/run/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a completion at one upstream.
+//! A single attempt of a completion at one upstream.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,13 +20,13 @@
 use crate::RouteRequest;
 use crate::run::Run;
 
-/// How often a request waits for a lost upstream to come back.
-const MOST_PAUSES: u32 = 4;
+/// The maximum number of waits per request for lost upstreams to become available.
+const MAX_WAITS: u32 = 4;
 
-/// How long a request waits before it tries a lost upstream again.
-const LOST_PAUSE: Duration = Duration::from_millis(250);
+/// The delay before lost upstreams are tried again.
+const LOST_UPSTREAM_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// The live attempt.
+/// The current attempt.
 pub(super) struct Attempt<P: Platform, K: Knowledge> {
     pub(super) entry: Arc<Entry<P, K>>,
     pub(super) upstream: Name,
@@ -40,13 +40,13 @@
 }
 
 impl<P: Platform, K: Knowledge> Run<P, K> {
-    /// Routes the request and hands it to a sidecar.
+    /// Routes the request and dispatches it to a sidecar.
     pub(super) async fn start_attempt(&mut self) -> Result<(), ApiError> {
         loop {
             let choice = self.choose().await?;
             let dispatch = self.dispatch(&choice);
             let detail = format!("{} attempt {}", choice.upstream, dispatch.attempt);
-            self.entry.node.events.record(&self.start.id, "sent", detail);
+            self.entry.node.events.record(&self.params.id, "sent", detail);
             let sent = self.entry.links.call(choice.address, Body::Dispatch(dispatch));
             match sent.await {
                 Ok(call) => {
@@ -55,12 +55,12 @@
                     self.entry.router.record_start(&choice.upstream);
                     let entry = self.entry.clone();
                     let upstream = choice.upstream;
-                    self.live = Some(Attempt { entry, upstream, call });
+                    self.current = Some(Attempt { entry, upstream, call });
                     return Ok(());
                 }
-                // Nothing was sent, so this was no attempt; another upstream may do.
+                // Nothing was sent, so this does not count as an attempt.
                 Err(_) => {
-                    self.lost_any = true;
+                    self.any_lost = true;
                     self.entry.router.record_failure(&choice.upstream);
                     self.tried.push(choice.upstream);
                 }
@@ -70,38 +70,38 @@
 
     async fn choose(&mut self) -> Result<Choice, ApiError> {
         let scope = Scope {
-            customer: self.start.customer.name.clone(),
-            model: self.start.model.name.clone(),
-            adapter: self.start.model.adapter.clone(),
-            weights: self.start.model.weights.clone(),
+            customer: self.params.customer.name.clone(),
+            model: self.params.model.name.clone(),
+            adapter: self.params.model.adapter.clone(),
+            weights: self.params.model.weights.clone(),
         };
         let ask = RouteRequest {
-            request: self.start.id.clone(),
-            pool: self.start.model.pool.clone(),
-            customer: self.start.customer.name.clone(),
-            priority: self.start.customer.priority,
+            request: self.params.id.clone(),
+            pool: self.params.model.pool.clone(),
+            customer: self.params.customer.name.clone(),
+            priority: self.params.customer.priority,
             scope,
-            prompt: self.start.request.prompt.clone(),
+            prompt: self.params.request.prompt.clone(),
             required_weights: self.resumed_weights(),
             tried: self.tried.clone(),
         };
-        let first = self.entry.router.route(&self.start.compiled, &ask).await;
-        if first.is_some() || !self.lost_any || self.pauses >= MOST_PAUSES {
-            return first.ok_or_else(|| self.no_upstream());
+        let first = self.entry.router.route(&self.params.compiled, &ask).await;
+        if first.is_some() || !self.any_lost || self.waits >= MAX_WAITS {
+            return first.ok_or_else(|| self.no_upstream_error());
         }
-        // All upstreams were tried and one was lost, perhaps only by a link that
-        // broke for a moment. With few upstreams a stream would end here that
-        // the same upstream could carry on.
-        self.pauses += 1;
-        let left = self.start.deadline.left(SystemClock.now());
-        tokio::time::sleep(LOST_PAUSE.min(left)).await;
+        // All upstreams were tried and at least one was lost, possibly because its
+        // link was interrupted for a moment. Without another try, a stream in a small
+        // pool would end although the same upstream could continue it.
+        self.waits += 1;
+        let left = self.params.deadline.left(SystemClock.now());
+        tokio::time::sleep(LOST_UPSTREAM_RETRY_DELAY.min(left)).await;
         self.tried.clear();
         let ask = RouteRequest { tried: Vec::new(), ..ask };
-        let again = self.entry.router.route(&self.start.compiled, &ask).await;
-        again.ok_or_else(|| self.no_upstream())
+        let again = self.entry.router.route(&self.params.compiled, &ask).await;
+        again.ok_or_else(|| self.no_upstream_error())
     }
 
-    /// Returns the weights that the rest of a begun answer must come from.
+    /// Returns the weights that must continue an answer if part of it was delivered.
     fn resumed_weights(&self) -> Option<Name> {
         self.weights.clone().filter(|_| !self.cursor.text().is_empty())
     }
@@ -110,28 +110,28 @@
         let attempt = self.cursor.start_attempt();
         self.delivered_in_attempt = 0;
         Dispatch {
-            request: self.start.id.clone(),
+            request: self.params.id.clone(),
             attempt_token: rand::random(),
             attempt,
             kind: Kind::Completion.into(),
-            customer: self.start.customer.name.to_string(),
-            cache_scope: self.start.customer.name.to_string(),
-            weight: self.start.customer.weight,
-            priority: u32::from(self.start.customer.priority),
-            deadline_unix_ms: self.start.deadline.0,
-            model: self.start.model.name.to_string(),
-            adapter: self.start.model.adapter.to_string(),
+            customer: self.params.customer.name.to_string(),
+            cache_scope: self.params.customer.name.to_string(),
+            weight: self.params.customer.weight,
+            priority: u32::from(self.params.customer.priority),
+            deadline_unix_ms: self.params.deadline.0,
+            model: self.params.model.name.to_string(),
+            adapter: self.params.model.adapter.to_string(),
             weights: self.resumed_weights().unwrap_or_default().to_string(),
-            path: self.start.request.style.path().to_string(),
-            body: self.start.request.body.clone(),
+            path: self.params.request.style.path().to_string(),
+            body: self.params.request.body.clone(),
             resume_text: self.cursor.text().to_string(),
             blocks: choice.chain.len() as u32,
             sample: choice.chain.sample(),
             max_tokens: self
-                .start
+                .params
                 .request
                 .max_tokens
-                .unwrap_or(self.start.model.max_tokens),
+                .unwrap_or(self.params.model.max_tokens),
             ..Dispatch::default()
         }
     }
--- a/crates/bilberry-entry/src/run/errors.rs
+++ b/crates/bilberry-entry/src/run/errors.rs
@@ -1,4 +1,4 @@
-//! How a completion that can't go on is told to its caller.
+//! Errors of completions that cannot be continued.
 
 use bilberry_core::RunState;
 use bilberry_core::retry_after_ms;
@@ -9,37 +9,38 @@
 use crate::Knowledge;
 use crate::run::Run;
 
-/// When callers are asked back while no upstream takes work.
-const NO_UPSTREAM_WAIT_MS: u64 = 1_000;
+/// The base of the retry delay when no upstream accepts the request.
+const NO_UPSTREAM_RETRY_AFTER_MS: u64 = 1_000;
 
 impl<P: Platform, K: Knowledge> Run<P, K> {
-    pub(super) fn give_up(&self, why: &str) -> ApiError {
-        let message = format!("the answer was lost and could not be resumed: {why}");
+    pub(super) fn lost_error(&self, reason: &str) -> ApiError {
+        let message = format!("the answer was lost and could not be resumed: {reason}");
         let error = ApiError::may_have_run("upstream_lost", message)
-            .retry_after(retry_after_ms(NO_UPSTREAM_WAIT_MS, rand::random()));
-        self.as_known(error)
+            .retry_after(retry_after_ms(NO_UPSTREAM_RETRY_AFTER_MS, rand::random()));
+        self.with_overall_run_state(error)
     }
 
-    /// Says that nobody is left to ask, in the words of the last refusal if there
-    /// was one: it knows better when to come back.
-    pub(super) fn no_upstream(&self) -> ApiError {
+    /// Returns the error for when no upstream is left to try.
+    ///
+    /// This is the last rejection, if any, as its retry delay is more accurate.
+    pub(super) fn no_upstream_error(&self) -> ApiError {
         let message = "no upstream takes new work; come back later";
         let none = ApiError::not_run(ErrorKind::Unavailable, "no_upstream", message)
-            .retry_after(retry_after_ms(NO_UPSTREAM_WAIT_MS, rand::random()));
-        self.as_known(self.refusal.clone().unwrap_or(none))
+            .retry_after(retry_after_ms(NO_UPSTREAM_RETRY_AFTER_MS, rand::random()));
+        self.with_overall_run_state(self.last_rejection.clone().unwrap_or(none))
     }
 
     pub(super) fn deadline_error(&mut self) -> ApiError {
-        self.live = None;
+        self.current = None;
         let message = "the deadline passed; allow more time or ask for fewer tokens";
         let error = ApiError::not_run(ErrorKind::Deadline, "deadline_passed", message)
             .with_run_state(RunState::MayHaveRun)
-            .retry_after(retry_after_ms(NO_UPSTREAM_WAIT_MS, rand::random()));
-        self.as_known(error)
+            .retry_after(retry_after_ms(NO_UPSTREAM_RETRY_AFTER_MS, rand::random()));
+        self.with_overall_run_state(error)
     }
 
-    /// Says what is known of the run over all attempts.
-    pub(super) fn as_known(&self, error: ApiError) -> ApiError {
+    /// Sets the run state of an error from all attempts so far.
+    pub(super) fn with_overall_run_state(&self, error: ApiError) -> ApiError {
         match self.cursor.text().is_empty() {
             false => ApiError {
                 code: "stream_interrupted".to_string(),
--- a/crates/bilberry-entry/src/sse.rs
+++ b/crates/bilberry-entry/src/sse.rs
@@ -1,4 +1,4 @@
-//! Answers to completions, as OpenAI clients read them.
+//! Serialization of completions in the format of the OpenAI API.
 
 use bilberry_core::Clock;
 use bilberry_core::SystemClock;
@@ -9,9 +9,9 @@
 use crate::ApiError;
 use crate::CompletionStyle;
 
-/// Writes the answer to one request.
+/// Serializes the response to one completion request.
 #[derive(Debug)]
-pub(crate) struct Writer {
+pub(crate) struct CompletionWriter {
     style: CompletionStyle,
     id: String,
     model: String,
@@ -77,7 +77,7 @@
     cached_tokens: u64,
 }
 
-impl Writer {
+impl CompletionWriter {
     pub(crate) fn new(style: CompletionStyle, id: &str, model: &str) -> Self {
         let prefix = match style {
             CompletionStyle::Chat => "chatcmpl",
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Returns the event for the next text.
+    /// Returns the event for a piece of text.
     pub(crate) fn text(&self, text: &str, is_first: bool) -> Bytes {
         match self.style {
             CompletionStyle::Chat => {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Returns the events for the end of a stream.
+    /// Returns the events that complete a stream.
     pub(crate) fn end(&self, end: &Finished, include_usage: bool) -> Bytes {
         let last = match self.style {
             CompletionStyle::Chat => {
@@ -112,23 +112,27 @@
         };
         let mut events = last.to_vec();
         if include_usage {
-            let none: Vec<TextChoice> = Vec::new();
-            events.extend(event(&self.envelope(self.chunk_object(), none, Some(end))));
+            let no_choices: Vec<TextChoice> = Vec::new();
+            events.extend(event(&self.envelope(
+                self.chunk_object(),
+                no_choices,
+                Some(end),
+            )));
         }
         events.extend_from_slice(b"data: [DONE]\n\n");
         events.into()
     }
 
-    /// Returns the event that ends a stream which can't be completed.
+    /// Returns the event that ends an interrupted stream.
     ///
-    /// No end mark follows it, so a client that passes over the error still
-    /// can't take the stream for a whole one.
+    /// It is not followed by `[DONE]`, so a client that ignores the error does not
+    /// mistake the stream for a complete one.
     pub(crate) fn error(&self, error: &ApiError) -> Bytes {
         event(&error.body())
     }
 
-    /// Returns the body of an answer that is not streamed.
-    pub(crate) fn whole(&self, text: &str, end: &Finished) -> Vec<u8> {
+    /// Returns the body of a response that is not streamed.
+    pub(crate) fn full_response(&self, text: &str, end: &Finished) -> Vec<u8> {
         let body = match self.style {
             CompletionStyle::Chat => {
                 let message = Message { role: "assistant", content: text };
@@ -143,7 +147,7 @@
                 serde_json::to_vec(&self.envelope(object, vec![choice], Some(end)))
             }
         };
-        body.expect("our own types serialise")
+        body.expect("a completion is serializable")
     }
 
     fn chat_event(&self, delta: Delta<'_>, finish_reason: Option<&str>) -> Bytes {
@@ -186,10 +190,10 @@
     }
 }
 
-/// Returns one server-sent event.
+/// Encodes a value as a server-sent event.
 fn event<T: Serialize>(value: &T) -> Bytes {
     let mut bytes = b"data: ".to_vec();
-    serde_json::to_writer(&mut bytes, value).expect("our own types serialise");
+    serde_json::to_writer(&mut bytes, value).expect("an event is serializable");
     bytes.extend_from_slice(b"\n\n");
     bytes.into()
 }
