--- a/crates/bilberry-sidecar/src/admission.rs
+++ b/crates/bilberry-sidecar/src/admission.rs
@@ -1,4 +1,4 @@
-//! Who may use the upstream now, who waits, and who is refused.
+//! Admission control for the upstream.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -14,170 +14,171 @@
 
 use crate::Work;
 use crate::gate::Gate;
-use crate::gate::Ticket;
+use crate::gate::QueuedRequest;
 use crate::permit::Pause;
 use crate::permit::Permit;
 
-/// After how many requests idle customers' accounts are cleared away.
-const FORGET_EVERY: u64 = 1_024;
+/// The number of requests between removals of idle customers' queue state.
+const IDLE_CLEANUP_INTERVAL: u64 = 1_024;
 
-/// The gate in front of one upstream.
+/// The admission control of one upstream.
 ///
-/// A lock is held for a few operations on maps in memory and never across an
-/// await. An actor's mailbox would cost each request two wake-ups instead; see
-/// the design note on admission.
+/// The state is behind a lock, which is held for a few operations on in-memory maps
+/// and never across an await. An actor would cost each request two wake-ups instead;
+/// see the design note on admission.
 #[derive(Debug, Clone)]
 pub struct Admission {
-    pub(crate) gate: Arc<Mutex<Gate<Granted>>>,
+    pub(crate) gate: Arc<Mutex<Gate<QueueOutcome>>>,
 }
 
-/// Why a request did not come through the gate.
+/// The reason why a request was not admitted.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum Refusal {
-    /// There was no place for it.
+    /// The upstream or its queue is at capacity.
     Busy {
-        /// How long the queue would take to be served.
+        /// The estimated time until capacity is available.
         wait_ms: u64,
     },
-    /// Its deadline passed while it waited.
+    /// The deadline passed, or became unreachable, in the queue.
     Expired,
 }
 
-/// What a waiting request is told.
+/// The outcome for a queued request.
 #[derive(Debug)]
-pub(crate) enum Granted {
-    /// A place.
-    Place(Permit),
-    /// Another customer's request, short of its share, took the waiting place.
+pub(crate) enum QueueOutcome {
+    /// The request was admitted.
+    Admitted(Permit),
+    /// The request was displaced from the queue by one of a customer that is below its
+    /// fair share.
     Displaced,
-    /// Its answer would not be whole by its deadline any more.
+    /// The response could not be completed by the deadline.
     TooLate,
 }
 
-/// The answer of the gate.
-enum Asked {
+/// The decision on a new request.
+enum Decision {
     Run(Permit),
     Refused { wait_ms: u64 },
-    Wait(oneshot::Receiver<Granted>, QueueKey),
+    Wait(oneshot::Receiver<QueueOutcome>, QueueKey),
 }
 
 impl Admission {
-    /// Creates a gate for `limit` running and `queue_limit` waiting requests.
+    /// Creates an admission control with limits on running and queued requests.
     pub fn new(limit: usize, queue_limit: usize) -> Self {
         Self { gate: Arc::new(Mutex::new(Gate::new(limit, queue_limit))) }
     }
 
-    /// Follows the bounds of the configuration.
+    /// Sets the configured limits.
     pub fn set_configured(&self, limit: usize, queue_limit: usize) {
         self.gate.lock().unwrap().set_configured(limit, queue_limit);
-        self.start_waiting();
+        self.start_queued();
     }
 
-    /// Follows the upstream's own bound on running requests.
+    /// Sets the limit on running requests that the upstream reports.
     pub fn set_reported(&self, limit: usize) {
         self.gate.lock().unwrap().set_reported(limit);
-        self.start_waiting();
+        self.start_queued();
     }
 
-    /// Starts nothing new for as long as the pause lives; what runs goes on.
+    /// Starts no new requests until the returned guard is dropped; running requests
+    /// continue.
     pub fn pause(&self) -> Pause {
         Pause::new(self.clone())
     }
 
-    /// Returns how many requests run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.gate.lock().unwrap().running()
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of queued requests.
     pub fn queued(&self) -> usize {
         self.gate.lock().unwrap().queue.len()
     }
 
-    /// Returns the wait before the prefill of a customer's next request.
+    /// Estimates the wait before the prefill of a customer's next request.
     pub fn wait_ms(&self, customer: &Name, priority: u8) -> f64 {
         self.gate.lock().unwrap().wait_us(customer, priority) / 1_000.0
     }
 
-    /// Returns how long one prompt token takes.
+    /// Returns the estimated prefill time per prompt token.
     pub fn prefill_us_per_token(&self) -> f64 {
-        self.gate.lock().unwrap().learned.prefill_us_per_token()
+        self.gate.lock().unwrap().estimates.prefill_us_per_token()
     }
 
-    /// Waits for a place.
+    /// Waits until the request is admitted.
     pub async fn enter(&self, work: Work, now: UnixMs) -> Result<Permit, Refusal> {
         let left = work.deadline.left(now);
-        let (granted, key) = match self.ask(work, now) {
-            Asked::Run(permit) => return Ok(permit),
-            Asked::Refused { wait_ms } => return Err(Refusal::Busy { wait_ms }),
-            Asked::Wait(granted, key) => (granted, key),
+        let (outcome_receiver, key) = match self.decide(work, now) {
+            Decision::Run(permit) => return Ok(permit),
+            Decision::Refused { wait_ms } => return Err(Refusal::Busy { wait_ms }),
+            Decision::Wait(outcome_receiver, key) => (outcome_receiver, key),
         };
-        // A caller that goes away drops this future; its item leaves the queue.
-        let _waiting = Waiting { admission: self, key };
-        match timeout(left, granted).await {
-            Ok(Ok(Granted::Place(permit))) => Ok(permit),
-            Ok(Ok(Granted::TooLate)) | Err(_) => Err(Refusal::Expired),
-            Ok(_) => Err(Refusal::Busy { wait_ms: self.drain_ms() }),
+        // If the caller disconnects, this future is dropped, and with it the queue item.
+        let _guard = QueueGuard { admission: self, key };
+        match timeout(left, outcome_receiver).await {
+            Ok(Ok(QueueOutcome::Admitted(permit))) => Ok(permit),
+            Ok(Ok(QueueOutcome::TooLate)) | Err(_) => Err(Refusal::Expired),
+            Ok(_) => Err(Refusal::Busy { wait_ms: self.queue_drain_ms() }),
         }
     }
 
-    fn ask(&self, work: Work, now: UnixMs) -> Asked {
+    fn decide(&self, work: Work, now: UnixMs) -> Decision {
         let mut gate = self.gate.lock().unwrap();
-        gate.asked += 1;
-        if gate.asked.is_multiple_of(FORGET_EVERY) {
+        gate.requests += 1;
+        if gate.requests.is_multiple_of(IDLE_CLEANUP_INTERVAL) {
             gate.queue.forget_idle();
         }
-        if gate.has_place() && gate.queue.is_empty() {
-            return Asked::Run(Permit::start(self.clone(), &mut gate, work));
+        if gate.has_capacity() && gate.queue.is_empty() {
+            return Decision::Run(Permit::start(self.clone(), &mut gate, work));
         }
-        // A request that can't be served in time only takes a place from one that
-        // can; its caller learns now rather than at its deadline.
+        // A request that cannot be served in time would only take capacity from
+        // others. Its caller is informed now rather than at the deadline.
         let wait_us = gate.wait_us(&work.customer, work.priority);
         if gate.is_too_late(&work, now, wait_us) {
-            return Asked::Refused { wait_ms: (wait_us / 1_000.0) as u64 };
+            return Decision::Refused { wait_ms: (wait_us / 1_000.0) as u64 };
         }
-        let (grant, granted) = oneshot::channel();
-        match gate.push(Ticket { grant, work }) {
-            Pushed::Queued(key) => Asked::Wait(granted, key),
+        let (outcome, outcome_receiver) = oneshot::channel();
+        match gate.push(QueuedRequest { outcome, work }) {
+            Pushed::Queued(key) => Decision::Wait(outcome_receiver, key),
             Pushed::Displaced(key, other) => {
-                let _ = other.grant.send(Granted::Displaced);
-                Asked::Wait(granted, key)
+                let _ = other.outcome.send(QueueOutcome::Displaced);
+                Decision::Wait(outcome_receiver, key)
             }
-            Pushed::Refused(_) => Asked::Refused { wait_ms: gate.drain_ms() },
+            Pushed::Refused(_) => Decision::Refused { wait_ms: gate.queue_drain_ms() },
         }
     }
 
-    fn drain_ms(&self) -> u64 {
-        self.gate.lock().unwrap().drain_ms()
+    fn queue_drain_ms(&self) -> u64 {
+        self.gate.lock().unwrap().queue_drain_ms()
     }
 
-    /// Gives free places to those that wait.
-    pub(crate) fn start_waiting(&self) {
-        let mut unclaimed = Vec::new();
+    /// Starts queued requests while there is capacity.
+    pub(crate) fn start_queued(&self) {
+        let mut undelivered = Vec::new();
         let mut gate = self.gate.lock().unwrap();
-        while gate.has_place() {
-            let Some(Ticket { grant, work }) = gate.queue.pop() else { break };
+        while gate.has_capacity() {
+            let Some(QueuedRequest { outcome, work }) = gate.queue.pop() else { break };
             if gate.is_too_late(&work, SystemClock.now(), 0.0) {
-                let _ = grant.send(Granted::TooLate);
+                let _ = outcome.send(QueueOutcome::TooLate);
                 continue;
             }
             let permit = Permit::start(self.clone(), &mut gate, work);
-            unclaimed.extend(grant.send(Granted::Place(permit)).err());
+            undelivered.extend(outcome.send(QueueOutcome::Admitted(permit)).err());
         }
         drop(gate);
-        // Permits of callers that went away are given back here, which takes the
-        // lock again.
-        drop(unclaimed);
+        // Dropping the permits of disconnected callers acquires the lock again.
+        drop(undelivered);
     }
 }
 
-/// A request in the queue, taken out if its caller goes away.
-struct Waiting<'a> {
+/// A queued request, which is removed from the queue on drop.
+struct QueueGuard<'a> {
     admission: &'a Admission,
     key: QueueKey,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         self.admission.gate.lock().unwrap().queue.remove(self.key);
     }
--- a/crates/bilberry-sidecar/src/attempts.rs
+++ b/crates/bilberry-sidecar/src/attempts.rs
@@ -1,15 +1,15 @@
-//! Attempts that were taken lately, so that none runs a second time.
+//! Deduplication of attempts.
 
 use std::collections::HashSet;
 use std::collections::VecDeque;
 use std::sync::Mutex;
 
-/// How many attempts are remembered: several minutes at a server's peak rate.
-const REMEMBERED: usize = 16_384;
+/// The number of remembered attempts: several minutes at the peak rate of a server.
+const CAPACITY: usize = 16_384;
 
-/// The tokens of recent attempts.
+/// The tokens of recent attempts, by which duplicates are detected.
 #[derive(Debug, Default)]
-pub(crate) struct Attempts {
+pub(crate) struct RecentAttempts {
     recent: Mutex<Recent>,
 }
 
@@ -19,18 +19,18 @@
     order: VecDeque<u64>,
 }
 
-impl Attempts {
-    /// Takes an attempt; returns false if it was taken before.
+impl RecentAttempts {
+    /// Records an attempt; returns false if it was recorded before.
     ///
-    /// A frame that a network element repeats would otherwise run its request
-    /// twice, and for a plain call that is a proof sent twice.
-    pub(crate) fn take(&self, token: u64) -> bool {
+    /// Otherwise, a frame duplicated by a network element would run its request twice,
+    /// which is not acceptable for non-repeatable calls, such as one that sends a proof.
+    pub(crate) fn insert(&self, token: u64) -> bool {
         let mut recent = self.recent.lock().unwrap();
         if !recent.tokens.insert(token) {
             return false;
         }
         recent.order.push_back(token);
-        if recent.order.len() > REMEMBERED
+        if recent.order.len() > CAPACITY
             && let Some(oldest) = recent.order.pop_front()
         {
             recent.tokens.remove(&oldest);
--- a/crates/bilberry-sidecar/src/completion.rs
+++ b/crates/bilberry-sidecar/src/completion.rs
@@ -82,7 +82,8 @@
             }
             let call = self.engine_call(dispatch);
             self.node.events.record(&dispatch.request, "engine_started", &weights);
-            let starting = within(permit.silence_bound(), SILENT, self.engine.run(call));
+            let starting =
+                within(permit.silence_timeout(), SILENT, self.engine.run(call));
             let stream = match starting.await {
                 Ok(stream) => stream,
                 Err(error) => return self.refuse_engine_error(error),
@@ -123,17 +124,18 @@
         let attempt = dispatch.attempt;
         let mut number = 0;
         loop {
-            let text = match within(permit.silence_bound(), SILENT, stream.next()).await {
+            let text = match within(permit.silence_timeout(), SILENT, stream.next()).await
+            {
                 Ok(EngineOutput::Text(text)) => text,
                 Ok(EngineOutput::End(end)) => {
                     self.health.succeed();
                     let computed = end.prompt_tokens.saturating_sub(end.cached_tokens);
-                    permit.note_served(computed, end.completion_tokens);
+                    permit.record_served(computed, end.completion_tokens);
                     return finished(attempt, number, end);
                 }
                 Err(error) => return self.refuse_engine_error(error),
             };
-            permit.note_first_token();
+            permit.record_first_token();
             let weights = if number == 0 { weights.clone() } else { String::new() };
             let chunk = Chunk { attempt, number, text, weights };
             if !reply.send(Body::Chunk(chunk)).await {
--- a/crates/bilberry-sidecar/src/gate.rs
+++ b/crates/bilberry-sidecar/src/gate.rs
@@ -1,4 +1,4 @@
-//! The state behind the admission lock, and what it knows of waiting times.
+//! The state of the admission control, and its estimates of waiting times.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,34 +10,34 @@
 use tokio::sync::oneshot;
 
 use crate::Work;
-use crate::learned::Learned;
+use crate::estimates::TimeEstimates;
 
-/// How much prefill may be under way at the engine for another to be added.
-const PREFILL_AHEAD_US: f64 = 20_000.0;
+/// The maximum prefill backlog of the engine at which another request is started.
+const MAX_PREFILL_BACKLOG_US: f64 = 20_000.0;
 
-/// By how much an estimated time is stretched before it is held to a deadline.
+/// The safety factor for estimated times that are compared with deadlines.
 const ESTIMATE_MARGIN: f64 = 1.1;
 
-/// The wait that is told while a pause lasts, so that work goes elsewhere.
-const PAUSE_US: f64 = 2_000_000.0;
+/// The additional wait reported during a pause, so that requests are routed elsewhere.
+const PAUSED_WAIT_US: f64 = 2_000_000.0;
 
-/// A request that waits to be told `G`.
+/// A queued request, which receives its outcome as a `G`.
 #[derive(Debug)]
-pub(crate) struct Ticket<G> {
-    pub(crate) grant: oneshot::Sender<G>,
+pub(crate) struct QueuedRequest<G> {
+    pub(crate) outcome: oneshot::Sender<G>,
     pub(crate) work: Work,
 }
 
 /// The state behind the admission lock.
 ///
-/// It doesn't know what waiting requests are told, which may be a permit that
-/// gives its place back through the gate.
+/// It is generic over the outcome of queued requests, which may be a permit that
+/// releases its capacity through the gate.
 #[derive(Debug)]
 pub(crate) struct Gate<G> {
-    pub(crate) queue: FairQueue<Ticket<G>>,
-    pub(crate) learned: Learned,
+    pub(crate) queue: FairQueue<QueuedRequest<G>>,
+    pub(crate) estimates: TimeEstimates,
     pub(crate) paused: bool,
-    pub(crate) asked: u64,
+    pub(crate) requests: u64,
     running: usize,
     configured_limit: usize,
     reported_limit: usize,
@@ -49,9 +49,9 @@
     pub(crate) fn new(limit: usize, queue_limit: usize) -> Self {
         Self {
             queue: FairQueue::new(queue_limit),
-            learned: Learned::new(),
+            estimates: TimeEstimates::new(),
             paused: false,
-            asked: 0,
+            requests: 0,
             running: 0,
             configured_limit: limit,
             reported_limit: usize::MAX,
@@ -73,72 +73,73 @@
         self.running
     }
 
-    /// Returns the prefill tokens that the engine has before it.
+    /// Returns the number of prompt tokens that the engine has yet to compute.
     pub(crate) fn prefill_backlog_tokens(&self) -> u64 {
         self.prefill_backlog_tokens
     }
 
-    pub(crate) fn push(&mut self, ticket: Ticket<G>) -> Pushed<Ticket<G>> {
-        let Work { customer, weight, priority, .. } = ticket.work.clone();
-        let cost = ticket.work.cost();
-        self.queue.push(&customer, weight, priority, cost, ticket)
+    pub(crate) fn push(&mut self, request: QueuedRequest<G>) -> Pushed<QueuedRequest<G>> {
+        let Work { customer, weight, priority, .. } = request.work.clone();
+        let cost = request.work.cost();
+        self.queue.push(&customer, weight, priority, cost, request)
     }
 
-    /// Reports whether one more request may go to the engine.
+    /// Returns whether another request may be sent to the engine.
     ///
-    /// An engine serves its own line in order of arrival. Were it given all that
-    /// it can run, a customer's first request would stand behind another one's
-    /// sixteen long prompts, and the fair queue in front would decide nothing. So
-    /// long prefills go one at a time; short ones, whose prompts are cached, don't
-    /// wait for that.
-    pub(crate) fn has_place(&self) -> bool {
+    /// An engine serves its internal queue in order of arrival. If it were given as
+    /// many requests as it can run, the first request of a customer would wait behind
+    /// sixteen long prompts of another one, and the fair queue would have no effect.
+    /// Long prefills are therefore sent one at a time; short ones, whose prompts are
+    /// cached, do not have to wait.
+    pub(crate) fn has_capacity(&self) -> bool {
         let ahead_us =
-            self.prefill_backlog_tokens as f64 * self.learned.prefill_us_per_token();
-        self.running < self.limit() && !self.paused && ahead_us <= PREFILL_AHEAD_US
+            self.prefill_backlog_tokens as f64 * self.estimates.prefill_us_per_token();
+        self.running < self.limit() && !self.paused && ahead_us <= MAX_PREFILL_BACKLOG_US
     }
 
-    /// Returns the wait before the prefill of a customer's next request.
+    /// Estimates the wait before the prefill of a customer's next request.
     pub(crate) fn wait_us(&self, customer: &Name, priority: u8) -> f64 {
         let prefill_us = self.prefill_left_us();
         if self.paused {
-            return prefill_us + PAUSE_US;
+            return prefill_us + PAUSED_WAIT_US;
         }
-        if self.has_place() && self.queue.is_empty() {
+        if self.has_capacity() && self.queue.is_empty() {
             return prefill_us;
         }
         let ahead = self.queue.cost_ahead(customer, priority) as f64;
-        let queued_us = ahead * self.learned.prefill_us_per_token();
-        prefill_us + queued_us.max(self.until_place_us(ahead))
+        let queued_us = ahead * self.estimates.prefill_us_per_token();
+        prefill_us + queued_us.max(self.capacity_wait_us(ahead))
     }
 
-    /// Reports whether an answer can't be whole by its deadline, after a wait.
+    /// Returns whether a response cannot be completed by its deadline after a wait.
     ///
-    /// A request that starts and is cut at its deadline has used the engine for
-    /// nothing. At twice the capacity nearly all did, as each was let in with
-    /// just the time to reach its turn.
+    /// A request that is aborted at its deadline has wasted engine time. At twice the
+    /// capacity, nearly all requests did, as each was admitted with just enough time
+    /// to start.
     pub(crate) fn is_too_late(&self, work: &Work, now: UnixMs, wait_us: f64) -> bool {
-        let own_us = self.learned.own_us(work.prefill_tokens, work.output_tokens);
-        let need_ms = (wait_us + own_us) / 1_000.0 * ESTIMATE_MARGIN;
+        let request_us =
+            self.estimates.request_us(work.prefill_tokens, work.output_tokens);
+        let need_ms = (wait_us + request_us) / 1_000.0 * ESTIMATE_MARGIN;
         work.deadline.has_passed_at(now.plus_ms(need_ms as u64))
     }
 
-    /// Returns how long all that waits would take.
-    pub(crate) fn drain_ms(&self) -> u64 {
+    /// Estimates the time for serving all queued requests.
+    pub(crate) fn queue_drain_ms(&self) -> u64 {
         let cost = self.queue.cost() as f64;
-        let prefill_us = cost * self.learned.prefill_us_per_token();
-        (prefill_us.max(self.until_place_us(cost)) / 1_000.0) as u64
+        let prefill_us = cost * self.estimates.prefill_us_per_token();
+        (prefill_us.max(self.capacity_wait_us(cost)) / 1_000.0) as u64
     }
 
-    /// Counts a request that goes to the engine.
+    /// Records that a request was sent to the engine.
     pub(crate) fn start(&mut self, tokens: u64) {
-        let us = tokens as f64 * self.learned.prefill_us_per_token();
+        let us = tokens as f64 * self.estimates.prefill_us_per_token();
         let free_at = self.prefill_free_at.max(Instant::now());
         self.prefill_free_at = free_at + Duration::from_micros(us as u64);
         self.prefill_backlog_tokens += tokens;
         self.running += 1;
     }
 
-    /// Counts the end of a prefill.
+    /// Records the end of a prefill.
     pub(crate) fn end_prefill(&mut self, tokens: u64) {
         self.prefill_backlog_tokens -= tokens;
         if self.prefill_backlog_tokens == 0 {
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Counts the end of a request.
+    /// Records the end of a request.
     pub(crate) fn end(&mut self) {
         self.running -= 1;
     }
@@ -155,19 +156,20 @@
         self.configured_limit.min(self.reported_limit).max(1)
     }
 
-    /// Returns how long the prefills that run will take, as far as is known.
+    /// Estimates the remaining time of the running prefills.
     fn prefill_left_us(&self) -> f64 {
         let left = self.prefill_free_at.saturating_duration_since(Instant::now());
         left.as_micros() as f64
     }
 
-    /// Returns how long `ahead` and the next one wait for running requests' ends.
-    fn until_place_us(&self, ahead: f64) -> f64 {
+    /// Estimates how long a request behind `ahead` queued cost waits for running requests
+    /// to end.
+    fn capacity_wait_us(&self, ahead: f64) -> f64 {
         if self.running < self.limit() {
             return 0.0;
         }
         let mean = self.queue.cost() as f64 / self.queue.len().max(1) as f64;
-        let per_place = (ahead + mean.max(1.0) / 2.0) / self.limit() as f64;
-        per_place * self.learned.service_us_per_cost()
+        let cost_per_slot = (ahead + mean.max(1.0) / 2.0) / self.limit() as f64;
+        cost_per_slot * self.estimates.service_us_per_cost()
     }
 }
--- a/crates/bilberry-sidecar/src/lib.rs
+++ b/crates/bilberry-sidecar/src/lib.rs
@@ -1,7 +1,8 @@
-//! The sidecar role: the one place that sees all traffic to its upstream.
+//! The sidecar role: a proxy through which all traffic to one upstream passes.
 //!
-//! Whatever must be exact for one upstream is decided here without agreement
-//! between processes: fair queueing, admission, drain, what is cached, orders.
+//! Decisions that must be exact for an upstream are made here, without coordination
+//! between processes: fair queueing, admission, draining, cache tracking and orders
+//! to load weights.
 
 mod admission;
 mod answers;
@@ -11,10 +12,10 @@
 mod engine;
 mod engine_http;
 mod engine_view;
+mod estimates;
 mod exchange;
 mod gate;
 mod health;
-mod learned;
 mod lines;
 mod orders;
 mod permit;
--- a/crates/bilberry-sidecar/src/orders.rs
+++ b/crates/bilberry-sidecar/src/orders.rs
@@ -1,8 +1,9 @@
-//! Bringing the engine to the weights that the configuration wants.
+//! Reconciliation of the engine's weights with the configuration.
 //!
-//! One actor compares what the engine runs with what it should run. An order
-//! needs the upstream's lease, whose version fences older holders, and one of
-//! the pool's slots, which bound how many engines load at once.
+//! An actor compares the weights that the engine runs with the configured ones. An
+//! order to load weights requires the lease of the upstream, whose object version is
+//! the fencing token, and a slot of the pool, which limits how many engines load
+//! weights at the same time.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -27,88 +28,88 @@
 use crate::PlainService;
 use crate::Sidecar;
 
-/// Where leases stand, by upstream.
+/// The key prefix of leases, which are stored by upstream.
 const LEASES_PREFIX: &str = "leases/";
 
-/// Where the slots of pools stand.
+/// The key prefix of load slots, which are stored by pool.
 const ROLLOUTS_PREFIX: &str = "rollouts/";
 
-/// How often the engine is compared with the configuration.
-const COMPARE_EVERY: Duration = Duration::from_millis(250);
+/// The interval between comparisons of the engine with the configuration.
+const COMPARE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long a lease is asked for; it is renewed only while an order is due.
-const LEASE_MS: u64 = 3_000;
+/// The duration of a lease, which is renewed only while an order is pending.
+const LEASE_DURATION_MS: u64 = 3_000;
 
-/// How long an order may take to reach the engine.
-const ORDER_MS: u64 = 500;
+/// The time that an order may take to reach the engine.
+const ORDER_DELIVERY_MS: u64 = 500;
 
-/// How long a new holder keeps quiet after an older holder's deadline, where
-/// the upstream ignores fencing numbers.
-const QUIET_MS: u64 = 1_000;
+/// The time that a new holder waits after the expiry of the previous lease if the
+/// upstream does not check fencing tokens.
+const UNFENCED_MARGIN_MS: u64 = 1_000;
 
-/// How long a slot is kept should its holder vanish; no load takes so long.
-const SLOT_MS: u64 = 90_000;
+/// The time after which the slot of a failed holder expires; longer than any load.
+const SLOT_TTL_MS: u64 = 90_000;
 
-/// How long running requests may hold up a load.
-const DRAIN_WAIT: Duration = Duration::from_secs(45);
+/// The maximum time to wait for running requests before weights are loaded.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(45);
 
-/// How often a drain looks whether requests still run.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// The interval at which a drain polls the number of running requests.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The actor that gives orders to one engine.
-struct Orders<P, E, S> {
+/// The actor that sends load orders to an engine.
+struct WeightOrders<P, E, S> {
     sidecar: Arc<Sidecar<P, E, S>>,
     holder: Name,
 }
 
-// The derive adds only the bound that the type parameters be sent, which is too
-// little for a shared sidecar.
-impl<P: Platform, E: Engine, S: PlainService> Actor for Orders<P, E, S> {
+// The derive macro only requires the type parameters to be `Send`, which does not
+// suffice for a shared sidecar.
+impl<P: Platform, E: Engine, S: PlainService> Actor for WeightOrders<P, E, S> {
     type Stop = ();
 
     async fn stopped(self) {}
 }
 
-/// Says that it is time to compare.
+/// Triggers a comparison.
 struct Compare;
 
-/// What the engine is to run, and the pool that says how.
-struct Wanted {
+/// The configured state of the engine.
+struct DesiredState {
     weights: Name,
     pool: Arc<Pool>,
     checks_fencing: bool,
 }
 
-/// Why no order was given now; the next comparison tries again.
-enum NotNow {
+/// The reason why no order was sent; the next comparison tries again.
+enum Postponed {
     Platform(PlatformError),
     Engine(EngineError),
     Waiting,
 }
 
-/// Starts the actor of a sidecar.
+/// Starts the actor for a sidecar.
 pub(crate) fn start_orders<P: Platform, E: Engine, S: PlainService>(
     sidecar: Arc<Sidecar<P, E, S>>,
 ) {
     let member = sidecar.node.member();
     let holder = Name::from(format!("{}/{:x}", member.process, member.incarnation));
-    let orders = xtra::spawn_tokio(Orders { sidecar, holder }, Mailbox::unbounded());
+    let actor = xtra::spawn_tokio(WeightOrders { sidecar, holder }, Mailbox::unbounded());
     tokio::spawn(async move {
-        while orders.send(Compare).await.is_ok() {
-            tokio::time::sleep(COMPARE_EVERY).await;
+        while actor.send(Compare).await.is_ok() {
+            tokio::time::sleep(COMPARE_INTERVAL).await;
         }
     });
 }
 
-impl<P: Platform, E: Engine, S: PlainService> Handler<Compare> for Orders<P, E, S> {
+impl<P: Platform, E: Engine, S: PlainService> Handler<Compare> for WeightOrders<P, E, S> {
     type Return = ();
 
     async fn handle(&mut self, _: Compare, _: &mut Context<Self>) {
-        let Some(wanted) = self.wanted() else { return };
-        match self.load(&wanted).await {
-            Ok(()) | Err(NotNow::Waiting) => {}
-            Err(NotNow::Platform(error)) => log::debug!("no order yet: {error}"),
-            Err(NotNow::Engine(error)) => {
+        let Some(desired) = self.desired() else { return };
+        match self.load(&desired).await {
+            Ok(()) | Err(Postponed::Waiting) => {}
+            Err(Postponed::Platform(error)) => log::debug!("order postponed: {error}"),
+            Err(Postponed::Engine(error)) => {
                 let events = &self.sidecar.node.events;
                 events.record("", "order_failed", error.to_string());
             }
@@ -116,69 +117,73 @@
     }
 }
 
-impl<P: Platform, E: Engine, S: PlainService> Orders<P, E, S> {
-    /// Returns what the engine should run, if it runs something else.
-    fn wanted(&self) -> Option<Wanted> {
+impl<P: Platform, E: Engine, S: PlainService> WeightOrders<P, E, S> {
+    /// Returns the configured state if the engine runs other weights.
+    fn desired(&self) -> Option<DesiredState> {
         let compiled = self.sidecar.node.config.compiled();
         let upstream = compiled.upstreams.get(&self.sidecar.upstream)?;
         let model = compiled.models.values().find(|model| model.pool == upstream.pool)?;
-        let runs = self.sidecar.view.info();
-        if runs.weights.is_empty() || model.weights == runs.weights {
+        let current = self.sidecar.view.info();
+        if current.weights.is_empty() || model.weights == current.weights {
             return None;
         }
-        Some(Wanted {
+        Some(DesiredState {
             weights: model.weights.clone(),
             pool: compiled.pools.get(&upstream.pool)?.clone(),
             checks_fencing: upstream.checks_fencing,
         })
     }
 
-    async fn load(&mut self, wanted: &Wanted) -> Result<(), NotNow> {
-        self.hold_lease(wanted).await?;
-        self.take_slot(wanted).await?;
-        let loaded = self.load_in_slot(wanted).await;
-        self.release_slot(wanted).await?;
-        loaded
+    async fn load(&mut self, desired: &DesiredState) -> Result<(), Postponed> {
+        self.acquire_lease(desired).await?;
+        self.acquire_slot(desired).await?;
+        let result = self.load_in_slot(desired).await;
+        self.release_slot(desired).await?;
+        result
     }
 
-    async fn load_in_slot(&mut self, wanted: &Wanted) -> Result<(), NotNow> {
-        // Answers that run end on the weights that began them; new ones wait.
+    async fn load_in_slot(&mut self, desired: &DesiredState) -> Result<(), Postponed> {
+        // Running requests complete on their current weights; new ones wait.
         let pause = self.sidecar.admission.pause();
         self.drain().await;
-        // The drain may have outlasted the lease, or this process was frozen. The
-        // lease is renewed, and its stored deadline checked right before the order.
-        let (lease, fencing) = self.hold_lease(wanted).await?;
-        if !lease.allows_order(SystemClock.now(), ORDER_MS) {
-            return Err(NotNow::Waiting);
+        // The lease may have expired during the drain, or while this process was
+        // suspended. It is therefore renewed, and its stored deadline is checked
+        // immediately before the order.
+        let (lease, fencing) = self.acquire_lease(desired).await?;
+        if !lease.allows_order(SystemClock.now(), ORDER_DELIVERY_MS) {
+            return Err(Postponed::Waiting);
         }
-        let ordered = self.sidecar.engine.load_weights(&wanted.weights, fencing).await;
-        let detail = format!("{} under {fencing}", wanted.weights);
+        let result = self.sidecar.engine.load_weights(&desired.weights, fencing).await;
+        let detail = format!("{} under {fencing}", desired.weights);
         self.sidecar.node.events.record("", "weights_ordered", detail);
-        // Whatever the answer, the engine is asked what it runs now: an order
-        // whose answer was lost may have been obeyed.
+        // The engine is queried for its weights even if the order failed, as an order
+        // whose response was lost may have been executed.
         if let Ok(info) = self.sidecar.engine.info().await {
             self.sidecar.view.note(info);
         }
         drop(pause);
-        ordered.map_err(NotNow::Engine)
+        result.map_err(Postponed::Engine)
     }
 
     async fn drain(&self) {
         let running = async {
             while self.sidecar.admission.running() > 0 {
-                tokio::time::sleep(LOOK_EVERY).await;
+                tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
         };
-        let _ = tokio::time::timeout(DRAIN_WAIT, running).await;
+        let _ = tokio::time::timeout(DRAIN_TIMEOUT, running).await;
     }
 
-    /// Takes or renews the lease; returns it with its fencing number.
-    async fn hold_lease(&self, wanted: &Wanted) -> Result<(Lease, u64), NotNow> {
+    /// Acquires or renews the lease; returns it with its fencing token.
+    async fn acquire_lease(
+        &self,
+        desired: &DesiredState,
+    ) -> Result<(Lease, u64), Postponed> {
         let key = format!("{LEASES_PREFIX}{}", self.sidecar.upstream);
         let (found, version) = self.read::<Lease>(&key).await?;
         let now = SystemClock.now();
-        let until = now.plus_ms(LEASE_MS);
-        let margin_ms = if wanted.checks_fencing { 0 } else { QUIET_MS };
+        let until = now.plus_ms(LEASE_DURATION_MS);
+        let margin_ms = if desired.checks_fencing { 0 } else { UNFENCED_MARGIN_MS };
         match (Lease::step(found.as_ref(), &self.holder, now, until, margin_ms), found) {
             (LeaseStep::Held, Some(lease)) => Ok((lease, version)),
             (LeaseStep::Write(lease), _) => {
@@ -186,24 +191,24 @@
                 self.sidecar.fencing.store(version, Ordering::Relaxed);
                 Ok((lease, version))
             }
-            _ => Err(NotNow::Waiting),
+            _ => Err(Postponed::Waiting),
         }
     }
 
-    async fn take_slot(&self, wanted: &Wanted) -> Result<(), NotNow> {
-        let key = format!("{ROLLOUTS_PREFIX}{}", wanted.pool.name);
+    async fn acquire_slot(&self, desired: &DesiredState) -> Result<(), Postponed> {
+        let key = format!("{ROLLOUTS_PREFIX}{}", desired.pool.name);
         let (found, version) = self.read::<Slots>(&key).await?;
         let now = SystemClock.now();
-        let until = now.plus_ms(SLOT_MS);
-        let most = wanted.pool.max_loads;
+        let until = now.plus_ms(SLOT_TTL_MS);
+        let max_loads = desired.pool.max_loads;
         let slots = found.unwrap_or_default();
-        let taken = slots.take(&self.sidecar.upstream, most, now, until);
-        let taken = taken.ok_or(NotNow::Waiting)?;
+        let taken = slots.take(&self.sidecar.upstream, max_loads, now, until);
+        let taken = taken.ok_or(Postponed::Waiting)?;
         self.write(&key, &taken, version).await.map(|_| ())
     }
 
-    async fn release_slot(&self, wanted: &Wanted) -> Result<(), NotNow> {
-        let key = format!("{ROLLOUTS_PREFIX}{}", wanted.pool.name);
+    async fn release_slot(&self, desired: &DesiredState) -> Result<(), Postponed> {
+        let key = format!("{ROLLOUTS_PREFIX}{}", desired.pool.name);
         loop {
             let (found, version) = self.read::<Slots>(&key).await?;
             let now = SystemClock.now();
@@ -211,10 +216,10 @@
             if !slots.holds(&self.sidecar.upstream, now) {
                 return Ok(());
             }
-            let freed = slots.release(&self.sidecar.upstream, now);
-            match self.write(&key, &freed, version).await {
-                // Another upstream moved the slots meanwhile.
-                Err(NotNow::Waiting) => {}
+            let released = slots.release(&self.sidecar.upstream, now);
+            match self.write(&key, &released, version).await {
+                // The slots were changed concurrently by another upstream.
+                Err(Postponed::Waiting) => {}
                 done => return done.map(|_| ()),
             }
         }
@@ -223,8 +228,9 @@
     async fn read<T: DeserializeOwned>(
         &self,
         key: &str,
-    ) -> Result<(Option<T>, u64), NotNow> {
-        let object = self.sidecar.platform.read(key).await.map_err(NotNow::Platform)?;
+    ) -> Result<(Option<T>, u64), Postponed> {
+        let object =
+            self.sidecar.platform.read(key).await.map_err(Postponed::Platform)?;
         let version = object.as_ref().map_or(0, |object| object.version);
         let value = object.and_then(|object| object.value);
         Ok((value.and_then(|text| serde_json::from_str(&text).ok()), version))
@@ -235,14 +241,15 @@
         key: &str,
         value: &T,
         expected: u64,
-    ) -> Result<u64, NotNow> {
-        let text = serde_json::to_string(value).expect("our own types serialise");
+    ) -> Result<u64, Postponed> {
+        let text =
+            serde_json::to_string(value).expect("leases and slots are serializable");
         let is_ours = |found: &str| found == text;
         let platform = &self.sidecar.platform;
         match settle(platform, key, &text, expected, is_ours).await {
             Ok(Settled::Written(version)) => Ok(version),
-            Ok(Settled::Lost(_)) => Err(NotNow::Waiting),
-            Err(error) => Err(NotNow::Platform(error)),
+            Ok(Settled::Lost(_)) => Err(Postponed::Waiting),
+            Err(error) => Err(Postponed::Platform(error)),
         }
     }
 }
--- a/crates/bilberry-sidecar/src/permit.rs
+++ b/crates/bilberry-sidecar/src/permit.rs
@@ -1,4 +1,4 @@
-//! A place at the upstream, and a pause of all places.
+//! Permits to use the upstream, and pauses.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,13 +7,13 @@
 use crate::Work;
 use crate::gate::Gate;
 
-/// How long an engine may stay silent beside its expected prefill.
-const MOST_SILENCE: Duration = Duration::from_millis(4_000);
+/// The time that an engine may send nothing, in addition to its expected prefill.
+const BASE_SILENCE_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// How many times the expected prefill may take.
-const SILENCE_FACTOR: f64 = 4.0;
+/// The factor by which a prefill may exceed its expected time.
+const PREFILL_TIMEOUT_FACTOR: f64 = 4.0;
 
-/// A place at the upstream, given back when dropped.
+/// A permit to run a request at the upstream, released on drop.
 #[derive(Debug)]
 pub struct Permit {
     admission: Admission,
@@ -31,43 +31,49 @@
         Self { admission, work, backlog_at_start, started, first_token_us: None }
     }
 
-    /// Returns how long the engine may stay silent now.
+    /// Returns the maximum time to wait for the next output of the engine.
     ///
-    /// An engine that hangs keeps its connections open. Its callers would wait
-    /// until their deadlines although other engines could serve them.
-    pub fn silence_bound(&self) -> Duration {
+    /// An engine that hangs keeps its connections open. Without this timeout, its
+    /// callers would wait until their deadlines although other engines could serve
+    /// them.
+    pub fn silence_timeout(&self) -> Duration {
         let tokens = self.backlog_at_start + self.work.prefill_tokens;
         let per_token = self.admission.prefill_us_per_token();
         let expected_us = match self.first_token_us {
             None => tokens as f64 * per_token,
             Some(_) => 0.0,
         };
-        MOST_SILENCE + Duration::from_micros((expected_us * SILENCE_FACTOR) as u64)
+        BASE_SILENCE_TIMEOUT
+            + Duration::from_micros((expected_us * PREFILL_TIMEOUT_FACTOR) as u64)
     }
 
-    /// Notes that the first token came.
-    pub fn note_first_token(&mut self) {
+    /// Records that the first token was received.
+    pub fn record_first_token(&mut self) {
         if self.first_token_us.is_some() {
             return;
         }
         self.first_token_us = Some(self.started.elapsed().as_micros() as f64);
         self.admission.gate.lock().unwrap().end_prefill(self.work.prefill_tokens);
-        self.admission.start_waiting();
+        self.admission.start_queued();
     }
 
-    /// Notes that the request was served, with the prompt tokens it computed and
-    /// the tokens of its answer.
-    pub fn note_served(&mut self, computed_tokens: u64, answer_tokens: u64) {
-        self.note_first_token();
+    /// Records that the request was served, with its numbers of computed prompt tokens
+    /// and output tokens.
+    pub fn record_served(&mut self, computed_tokens: u64, answer_tokens: u64) {
+        self.record_first_token();
         let elapsed_us = self.started.elapsed().as_micros() as f64;
         let mut gate = self.admission.gate.lock().unwrap();
         if let Some(first_us) = self.first_token_us {
             let tokens = self.backlog_at_start + computed_tokens;
-            gate.learned.note_prefill(tokens, first_us);
-            let most = self.work.output_tokens;
-            gate.learned.note_answer(answer_tokens, most, elapsed_us - first_us);
+            gate.estimates.record_prefill(tokens, first_us);
+            let max_tokens = self.work.output_tokens;
+            gate.estimates.record_answer(
+                answer_tokens,
+                max_tokens,
+                elapsed_us - first_us,
+            );
         }
-        gate.learned.note_service(self.work.cost(), elapsed_us);
+        gate.estimates.record_service(self.work.cost(), elapsed_us);
     }
 }
 
@@ -79,11 +85,11 @@
         }
         gate.end();
         drop(gate);
-        self.admission.start_waiting();
+        self.admission.start_queued();
     }
 }
 
-/// Keeps new work from starting until it is dropped.
+/// Prevents new requests from starting until it is dropped.
 #[derive(Debug)]
 pub struct Pause {
     admission: Admission,
@@ -99,6 +105,6 @@
 impl Drop for Pause {
     fn drop(&mut self) {
         self.admission.gate.lock().unwrap().paused = false;
-        self.admission.start_waiting();
+        self.admission.start_queued();
     }
 }
--- a/crates/bilberry-sidecar/src/plain_call.rs
+++ b/crates/bilberry-sidecar/src/plain_call.rs
@@ -68,7 +68,7 @@
         match self.service.call(request).await {
             Ok(answer) => {
                 self.health.succeed();
-                permit.note_served(0, 1);
+                permit.record_served(0, 1);
                 Body::PlainAnswer(answer)
             }
             Err(error @ PlainError::Unreachable(_)) => {
--- a/crates/bilberry-sidecar/src/sidecar.rs
+++ b/crates/bilberry-sidecar/src/sidecar.rs
@@ -1,4 +1,4 @@
-//! The sidecar and the calls it takes from entries and peers.
+//! The sidecar and its handling of messages from entries and peers.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -28,7 +28,7 @@
 use crate::Engine;
 use crate::PlainService;
 use crate::answers::not_run;
-use crate::attempts::Attempts;
+use crate::attempts::RecentAttempts;
 use crate::cache::SharedIndex;
 use crate::cache::follow_cache;
 use crate::engine_view::EngineView;
@@ -36,13 +36,13 @@
 use crate::health::Health;
 use crate::orders::start_orders;
 
-/// The running requests allowed before a configuration is in force.
-const FIRST_LIMIT: usize = 16;
+/// The limit on running requests before a configuration is active.
+const INITIAL_RUNNING_LIMIT: usize = 16;
 
-/// The waiting requests allowed before a configuration is in force.
-const FIRST_QUEUE_LIMIT: usize = 256;
+/// The limit on queued requests before a configuration is active.
+const INITIAL_QUEUE_LIMIT: usize = 256;
 
-/// The process beside one upstream.
+/// The proxy of one upstream.
 #[derive(Debug)]
 pub struct Sidecar<P, E, S> {
     pub(crate) node: Arc<Node>,
@@ -55,7 +55,7 @@
     pub(crate) view: Arc<EngineView>,
     pub(crate) health: Arc<Health>,
     pub(crate) fencing: AtomicU64,
-    attempts: Attempts,
+    attempts: RecentAttempts,
 }
 
 impl<P: Platform, E: Engine, S: PlainService> Sidecar<P, E, S> {
@@ -73,16 +73,17 @@
             upstream,
             engine,
             service,
-            admission: Admission::new(FIRST_LIMIT, FIRST_QUEUE_LIMIT),
+            admission: Admission::new(INITIAL_RUNNING_LIMIT, INITIAL_QUEUE_LIMIT),
             index: Arc::new(Mutex::new(CacheIndex::new())),
             view: Arc::default(),
             health: Arc::default(),
             fencing: AtomicU64::new(0),
-            attempts: Attempts::default(),
+            attempts: RecentAttempts::default(),
         })
     }
 
-    /// Starts to follow the engine; a plain service reports nothing.
+    /// Starts the background tasks that track the configuration and, for an engine, its
+    /// state and cache. Plain services report no state.
     pub fn follow_upstream(self: &Arc<Self>) {
         tokio::spawn(self.clone().follow_limits());
         let cache =
@@ -103,7 +104,7 @@
         });
     }
 
-    /// Applies the bounds of each new configuration.
+    /// Applies the limits of each new configuration.
     async fn follow_limits(self: Arc<Self>) {
         let mut revisions = self.node.config.subscribe();
         loop {
@@ -117,17 +118,17 @@
         }
     }
 
-    /// Returns how many blocks of a chain the engine holds.
+    /// Returns how many leading blocks of a chain the engine has cached.
     pub(crate) fn held_blocks(&self, blocks: usize, sample: &[Fingerprint]) -> usize {
         self.index.lock().unwrap().depth(blocks, sample)
     }
 
-    /// Returns how many requests run and wait.
+    /// Returns the number of running and queued requests.
     pub fn in_progress(&self) -> usize {
         self.admission.running() + self.admission.queued()
     }
 
-    /// Waits until a configuration tells what kind of upstream this is.
+    /// Waits until a configuration defines the kind of the upstream.
     async fn wait_for_kind(&self) -> UpstreamKind {
         let mut revisions = self.node.config.subscribe();
         loop {
@@ -166,8 +167,9 @@
     }
 
     async fn serve(&self, dispatch: Dispatch, reply: Reply) {
-        if !self.attempts.take(dispatch.attempt_token) {
-            // Its first copy answers; a second answer would cross with it.
+        if !self.attempts.insert(dispatch.attempt_token) {
+            // A duplicate; the first copy is answered, and a second answer would
+            // interleave with it.
             return;
         }
         self.node.events.record(&dispatch.request, "dispatched", &self.upstream);
@@ -183,7 +185,7 @@
     }
 
     fn answer_drain(&self, ask: &DrainAsk) -> DrainAnswer {
-        // An address may have passed on to another upstream's sidecar.
+        // The address may have been reassigned to the sidecar of another upstream.
         if ask.upstream == self.upstream {
             self.node.leave("drained by an operator");
         }
