--- a/crates/bilberry-sidecar/src/cache.rs
+++ b/crates/bilberry-sidecar/src/cache.rs
@@ -1,4 +1,4 @@
-//! Following the engine's cache events.
+//! Tracking of the engine's cache by its events.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -12,36 +12,36 @@
 use crate::EngineError;
 use crate::EngineEvents;
 
-/// The pause before lost events are followed again.
-const PAUSE: Duration = Duration::from_millis(200);
+/// The delay before a new subscription to cache events.
+const RESUBSCRIBE_DELAY: Duration = Duration::from_millis(200);
 
-/// The shared index of what the engine has cached.
+/// The shared index of the engine's cached blocks.
 pub(crate) type SharedIndex = Arc<Mutex<CacheIndex>>;
 
-/// Keeps the index up to date for as long as the task lives.
-pub(crate) async fn follow_cache<E: Engine>(
+/// Keeps the index up to date; runs until the task is dropped.
+pub(crate) async fn track_cache<E: Engine>(
     engine: E,
     node: Arc<Node>,
     index: SharedIndex,
 ) {
     loop {
-        if let Err(error) = follow_once(&engine, &node, &index).await {
-            log::debug!("the cache events are followed anew: {error}");
+        if let Err(error) = subscribe(&engine, &node, &index).await {
+            log::debug!("resubscribing to cache events: {error}");
         }
-        // Events were missed, perhaps a whole life of the engine: until the next
-        // snapshot the picture is a guess.
+        // Events were missed, possibly including restarts of the engine, so the index
+        // is unreliable until the next snapshot.
         index.lock().unwrap().doubt();
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RESUBSCRIBE_DELAY).await;
     }
 }
 
-async fn follow_once<E: Engine>(
+async fn subscribe<E: Engine>(
     engine: &E,
     node: &Node,
     index: &SharedIndex,
 ) -> Result<(), EngineError> {
-    // The events are opened before the snapshot is taken, so that nothing falls
-    // between the two; events that the snapshot holds already are passed over.
+    // The subscription starts before the snapshot is taken, so that no event is
+    // missed; events that the snapshot already includes are ignored.
     let mut events = engine.events().await?;
     resync(engine, index).await?;
     loop {
--- a/crates/bilberry-sidecar/src/completion.rs
+++ b/crates/bilberry-sidecar/src/completion.rs
@@ -1,4 +1,4 @@
-//! Running one completion on the engine.
+//! Execution of completions on the engine.
 
 use bilberry_core::Clock;
 use bilberry_core::Name;
@@ -24,29 +24,29 @@
 use crate::Sidecar;
 use crate::StreamEnd;
 use crate::Work;
-use crate::answers::may_have_run;
-use crate::answers::not_admitted;
-use crate::answers::not_run;
-use crate::exchange::within;
+use crate::exchange::with_timeout;
+use crate::refusals::may_have_run;
+use crate::refusals::not_admitted;
+use crate::refusals::not_run;
 
-/// How often a request is started again because the weights changed meanwhile.
-const MOST_WEIGHT_CHANGES: usize = 3;
+/// The maximum number of starts of a request while the weights change.
+const MAX_STARTS: usize = 3;
 
-/// What is said of an engine that stays silent too long.
-const SILENT: &str = "the engine is silent";
+/// The error message for an engine that exceeds the silence timeout.
+const SILENCE_MESSAGE: &str = "the engine is silent";
 
 impl<P: Platform, E: Engine, S: PlainService> Sidecar<P, E, S> {
-    /// Serves one completion and ends it with exactly one last message.
+    /// Serves a completion; sends exactly one final message.
     pub(crate) async fn serve_completion(&self, dispatch: Dispatch, reply: Reply) {
         let work = self.work_of(&dispatch);
-        let last = match self.admission.enter(work, SystemClock.now()).await {
+        let final_message = match self.admission.enter(work, SystemClock.now()).await {
             Ok(permit) => self.run_completion(&dispatch, &reply, permit).await,
             Err(refusal) => not_admitted(refusal),
         };
-        if let Body::Refused(refused) = &last {
+        if let Body::Refused(refused) = &final_message {
             self.node.events.record(&dispatch.request, "refused", refused.code.clone());
         }
-        reply.send(last).await;
+        reply.send(final_message).await;
     }
 
     fn work_of(&self, dispatch: &Dispatch) -> Work {
@@ -62,16 +62,17 @@
         }
     }
 
-    /// Starts the engine on the request and passes its stream on.
+    /// Starts the request on the engine and forwards the stream; returns the final
+    /// message.
     async fn run_completion(
         &self,
         dispatch: &Dispatch,
         reply: &Reply,
         permit: Permit,
     ) -> Body {
-        for _ in 0..MOST_WEIGHT_CHANGES {
+        for _ in 0..MAX_STARTS {
             let weights = self.view.info().weights.clone();
-            // The rest of an answer must come from the weights that began it.
+            // An answer must be continued with the weights that started it.
             if !dispatch.weights.is_empty() && dispatch.weights != weights {
                 let message = "the engine runs other weights; another upstream is tried";
                 return not_run("wrong_weights", message, None);
@@ -82,21 +83,25 @@
             }
             let call = self.engine_call(dispatch);
             self.node.events.record(&dispatch.request, "engine_started", &weights);
-            let starting =
-                within(permit.silence_timeout(), SILENT, self.engine.run(call));
-            let stream = match starting.await {
+            let start = with_timeout(
+                permit.silence_timeout(),
+                SILENCE_MESSAGE,
+                self.engine.run(call),
+            );
+            let stream = match start.await {
                 Ok(stream) => stream,
-                Err(error) => return self.refuse_engine_error(error),
+                Err(error) => return self.engine_refusal(error),
             };
-            // The salt was made for other weights than the engine now runs, so it
-            // could meet blocks that those computed: start anew, nothing was sent.
+            // The salt was computed for other weights than the engine runs now, so the
+            // request could use cached blocks of the wrong weights. As nothing was
+            // forwarded yet, it can be restarted.
             if stream.info().weights != weights {
                 self.view.mark(&weights);
                 let max_running = self.view.info().max_running;
-                self.view.note(EngineInfo { max_running, ..stream.info().clone() });
+                self.view.store(EngineInfo { max_running, ..stream.info().clone() });
                 continue;
             }
-            return self.pass_on(dispatch, reply, permit, stream).await;
+            return self.forward(dispatch, reply, permit, stream).await;
         }
         not_run("weights_changing", "the engine's weights keep changing", None)
     }
@@ -112,8 +117,8 @@
         }
     }
 
-    /// Passes the stream on as numbered chunks; returns the last message.
-    async fn pass_on(
+    /// Forwards the stream as numbered chunks; returns the final message.
+    async fn forward(
         &self,
         dispatch: &Dispatch,
         reply: &Reply,
@@ -124,7 +129,12 @@
         let attempt = dispatch.attempt;
         let mut number = 0;
         loop {
-            let text = match within(permit.silence_timeout(), SILENT, stream.next()).await
+            let text = match with_timeout(
+                permit.silence_timeout(),
+                SILENCE_MESSAGE,
+                stream.next(),
+            )
+            .await
             {
                 Ok(EngineOutput::Text(text)) => text,
                 Ok(EngineOutput::End(end)) => {
@@ -133,7 +143,7 @@
                     permit.record_served(computed, end.completion_tokens);
                     return finished(attempt, number, end);
                 }
-                Err(error) => return self.refuse_engine_error(error),
+                Err(error) => return self.engine_refusal(error),
             };
             permit.record_first_token();
             let weights = if number == 0 { weights.clone() } else { String::new() };
@@ -145,9 +155,9 @@
         }
     }
 
-    fn refuse_engine_error(&self, error: EngineError) -> Body {
+    fn engine_refusal(&self, error: EngineError) -> Body {
         match error {
-            // The engine's own judgement of the request says nothing of its health.
+            // A rejected request does not indicate that the engine is unhealthy.
             EngineError::Refused { status, message } if (400..500).contains(&status) => {
                 self.health.succeed();
                 Body::Refused(Refused {
--- a/crates/bilberry-sidecar/src/engine.rs
+++ b/crates/bilberry-sidecar/src/engine.rs
@@ -1,4 +1,4 @@
-//! The port through which the sidecar meets its engine.
+//! The interface of the sidecar to its engine.
 
 use std::future::Future;
 
@@ -7,87 +7,87 @@
 use bytes::Bytes;
 use thiserror::Error;
 
-/// A completion for the engine.
+/// A completion request for the engine.
 #[derive(Debug, Clone)]
 pub struct EngineCall {
-    /// The path, of the chat or of the text interface.
+    /// The path of the chat or the text API.
     pub path: String,
     /// The caller's JSON object, without the fields that the sidecar adds.
     pub body: Bytes,
-    /// What keeps other customers' and other weights' cached blocks out.
+    /// The salt that separates cached blocks by customer and weights.
     pub cache_salt: String,
-    /// The priority among the engine's own waiting requests.
+    /// The priority in the engine's internal queue.
     pub priority: u32,
-    /// The text after which the engine is to go on.
+    /// The text after which the engine continues; empty for a new completion.
     pub resume_text: String,
 }
 
-/// What an engine says of itself.
+/// The state that an engine reports.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineInfo {
-    /// The random number that it chose at its start.
+    /// A random number that the engine chooses at each start.
     pub incarnation: u64,
-    /// The weights that it runs.
+    /// The loaded weights.
     pub weights: String,
-    /// How many requests it can run at once, as last reported.
+    /// The maximum number of concurrent requests, as last reported.
     pub max_running: usize,
 }
 
-/// One message of a stream.
+/// An item of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EngineOutput {
-    /// The next text.
+    /// A piece of text.
     Text(String),
-    /// The end.
+    /// The end of the stream.
     End(StreamEnd),
 }
 
-/// How a stream ended.
+/// The final data of a stream.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StreamEnd {
-    /// `stop` or `length`.
+    /// The finish reason, `stop` or `length`.
     pub reason: String,
-    /// The tokens of the prompt.
+    /// The number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Those of them that were cached.
+    /// The number of prompt tokens that were cached.
     pub cached_tokens: u64,
-    /// The tokens of the answer.
+    /// The number of output tokens.
     pub completion_tokens: u64,
 }
 
-/// What an engine has cached at one moment.
+/// The cached blocks of an engine at one point in its event sequence.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
     /// The engine's incarnation.
     pub incarnation: u64,
-    /// The number of the first event that is not part of it.
+    /// The sequence number of the first event that is not included.
     pub next_sequence: u64,
     /// The blocks.
     pub blocks: Vec<Fingerprint>,
 }
 
-/// Why an engine failed.
+/// An error of an engine request.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum EngineError {
-    /// It can't be reached; it was not given the request.
+    /// The engine is unreachable; the request was not sent.
     #[error("the engine can't be reached: {0}; check that it runs")]
     Unreachable(String),
-    /// It broke off.
+    /// The connection failed; the request may have run.
     #[error("the engine broke off: {0}; the request may have run")]
     Lost(String),
-    /// It refused the request.
+    /// The engine rejected the request.
     #[error("the engine refused the request with status {status}: {message}")]
     Refused {
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// What it said.
+        /// The body of the response.
         message: String,
     },
 }
 
 /// A language-model engine.
 pub trait Engine: Clone + Send + Sync + 'static {
-    /// The answer to a completion.
+    /// The response to a completion request.
     type Stream: EngineStream;
     /// The cache events.
     type Events: EngineEvents;
@@ -98,16 +98,16 @@
         call: EngineCall,
     ) -> impl Future<Output = Result<Self::Stream, EngineError>> + Send;
 
-    /// Asks the engine for what it says of itself.
+    /// Queries the state of the engine.
     fn info(&self) -> impl Future<Output = Result<EngineInfo, EngineError>> + Send;
 
-    /// Starts to follow the cache events.
+    /// Subscribes to cache events.
     fn events(&self) -> impl Future<Output = Result<Self::Events, EngineError>> + Send;
 
-    /// Asks for all cached blocks.
+    /// Queries all cached blocks.
     fn snapshot(&self) -> impl Future<Output = Result<Snapshot, EngineError>> + Send;
 
-    /// Orders the engine to load weights, under a fencing number.
+    /// Orders the engine to load weights, with a fencing token.
     fn load_weights(
         &self,
         weights: &str,
@@ -117,10 +117,10 @@
 
 /// A completion in progress.
 pub trait EngineStream: Send + 'static {
-    /// Returns what the engine says of itself at the start of the answer.
+    /// Returns the state that the engine reports at the start of the response.
     fn info(&self) -> &EngineInfo;
 
-    /// Waits for the next message.
+    /// Waits for the next item.
     fn next(&mut self) -> impl Future<Output = Result<EngineOutput, EngineError>> + Send;
 }
 
--- a/crates/bilberry-sidecar/src/engine_http.rs
+++ b/crates/bilberry-sidecar/src/engine_http.rs
@@ -1,4 +1,4 @@
-//! An engine with an OpenAI-style interface over HTTP.
+//! A client for engines with an OpenAI-compatible HTTP API.
 
 mod events;
 mod stream;
@@ -32,34 +32,34 @@
 use crate::exchange::HttpClient;
 use crate::exchange::exchange;
 use crate::exchange::read_body;
-use crate::exchange::within;
+use crate::exchange::with_timeout;
 
-/// The header in which an engine names its incarnation.
+/// The response header with the engine's incarnation.
 const INCARNATION_HEADER: &str = "x-engine-incarnation";
 
-/// The header in which an engine names its weights.
+/// The response header with the engine's weights.
 const WEIGHTS_HEADER: &str = "x-engine-weights";
 
-/// How long a question that is no completion may take.
-const ASK_WAIT: Duration = Duration::from_millis(1_000);
+/// The timeout of requests other than completions and load orders.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// What is said of an engine that does not answer in time.
-const LATE: &str = "no answer in time";
+/// The error message for a timeout.
+const TIMEOUT_MESSAGE: &str = "no answer in time";
 
-/// How long an order to load weights may take.
-const LOAD_WAIT: Duration = Duration::from_millis(30_000);
+/// The timeout of an order to load weights.
+const LOAD_TIMEOUT: Duration = Duration::from_millis(30_000);
 
-/// The largest answer that is read whole, enough for a snapshot.
-const MAX_ANSWER_BYTES: usize = 32 * 1024 * 1024;
+/// The maximum size of a response that is not streamed, sufficient for a snapshot.
+const MAX_RESPONSE_BYTES: usize = 32 * 1024 * 1024;
 
-/// An engine over HTTP.
+/// A client for an engine over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpEngine {
     client: HttpClient,
     address: SocketAddr,
 }
 
-/// The fields that the sidecar adds to the caller's own.
+/// The fields that the sidecar adds to the caller's request.
 #[derive(Serialize)]
 struct AddedFields<'a> {
     stream: bool,
@@ -82,21 +82,21 @@
 }
 
 #[derive(Deserialize)]
-struct InfoAnswer {
+struct InfoResponse {
     incarnation: u64,
     weights: String,
     max_running: usize,
 }
 
 #[derive(Deserialize)]
-struct SnapshotAnswer {
+struct SnapshotResponse {
     incarnation: u64,
     next_sequence: u64,
     blocks: Vec<u64>,
 }
 
 impl HttpEngine {
-    /// Creates an adapter; no call is made yet.
+    /// Creates a client; does not connect yet.
     pub fn new(address: SocketAddr) -> Self {
         let client = Client::builder(TokioExecutor::new()).build_http();
         Self { client, address }
@@ -124,13 +124,13 @@
         }
     }
 
-    async fn ask<T: DeserializeOwned>(&self, path: &str) -> Result<T, EngineError> {
-        let asking = async {
+    async fn query<T: DeserializeOwned>(&self, path: &str) -> Result<T, EngineError> {
+        let query = async {
             let answer = self.send(Method::GET, path, Bytes::new()).await?;
             let text = read_text(answer).await?;
             serde_json::from_str(&text).map_err(|e| EngineError::Lost(e.to_string()))
         };
-        within(ASK_WAIT, LATE, asking).await
+        with_timeout(QUERY_TIMEOUT, TIMEOUT_MESSAGE, query).await
     }
 }
 
@@ -141,12 +141,12 @@
     async fn run(&self, call: EngineCall) -> Result<HttpStream, EngineError> {
         let body = add_fields(&call);
         let answer = self.send(Method::POST, &call.path, body).await?;
-        let info = info_of(answer.headers());
+        let info = info_from_headers(answer.headers());
         Ok(HttpStream::new(info, answer.into_body()))
     }
 
     async fn info(&self) -> Result<EngineInfo, EngineError> {
-        let answer: InfoAnswer = self.ask("/v1/engine").await?;
+        let answer: InfoResponse = self.query("/v1/engine").await?;
         Ok(EngineInfo {
             incarnation: answer.incarnation,
             weights: answer.weights,
@@ -156,12 +156,12 @@
 
     async fn events(&self) -> Result<HttpEvents, EngineError> {
         let sending = self.send(Method::GET, "/v1/cache/events", Bytes::new());
-        let answer = within(ASK_WAIT, LATE, sending).await?;
+        let answer = with_timeout(QUERY_TIMEOUT, TIMEOUT_MESSAGE, sending).await?;
         Ok(HttpEvents::new(answer.into_body()))
     }
 
     async fn snapshot(&self) -> Result<Snapshot, EngineError> {
-        let answer: SnapshotAnswer = self.ask("/v1/cache/blocks").await?;
+        let answer: SnapshotResponse = self.query("/v1/cache/blocks").await?;
         Ok(Snapshot {
             incarnation: answer.incarnation,
             next_sequence: answer.next_sequence,
@@ -173,14 +173,14 @@
         let order = serde_json::to_vec(&LoadOrder { weights, fencing });
         let order = Bytes::from(order.unwrap_or_default());
         let sending = self.send(Method::POST, "/v1/orders/load", order);
-        within(LOAD_WAIT, LATE, sending).await.map(|_| ())
+        with_timeout(LOAD_TIMEOUT, TIMEOUT_MESSAGE, sending).await.map(|_| ())
     }
 }
 
 /// Adds the sidecar's fields to the caller's JSON object.
 ///
-/// The entry has taken fields of these names out, so that no caller can choose
-/// a salt, and with it another customer's cached blocks.
+/// The entry removes fields with these names from requests, so that callers cannot
+/// choose a salt and thus access cached blocks of other customers.
 fn add_fields(call: &EngineCall) -> Bytes {
     let added = AddedFields {
         stream: true,
@@ -200,7 +200,7 @@
     body.freeze()
 }
 
-fn info_of(headers: &HeaderMap) -> EngineInfo {
+fn info_from_headers(headers: &HeaderMap) -> EngineInfo {
     let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
     EngineInfo {
         incarnation: text(INCARNATION_HEADER).and_then(|t| t.parse().ok()).unwrap_or(0),
@@ -210,6 +210,6 @@
 }
 
 async fn read_text(answer: Response<Incoming>) -> Result<String, EngineError> {
-    let body = read_body(answer, MAX_ANSWER_BYTES).await?;
+    let body = read_body(answer, MAX_RESPONSE_BYTES).await?;
     Ok(String::from_utf8_lossy(&body).into_owned())
 }
--- a/crates/bilberry-sidecar/src/engine_http/events.rs
+++ b/crates/bilberry-sidecar/src/engine_http/events.rs
@@ -1,4 +1,4 @@
-//! The cache events of an engine over HTTP, one JSON line each.
+//! The cache events of an engine over HTTP, as JSON lines.
 
 use bilberry_core::CacheEvent;
 use bilberry_core::EventKind;
@@ -20,19 +20,19 @@
 struct EventLine {
     sequence: u64,
     incarnation: u64,
-    kind: EventWord,
+    kind: EventLineKind,
     block: u64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum EventWord {
+enum EventLineKind {
     Stored,
     Evicted,
 }
 
 impl HttpEvents {
-    /// Reads the events from the body of an answer.
+    /// Reads events from a response body.
     pub(super) fn new(body: Incoming) -> Self {
         Self { lines: Lines::new(body) }
     }
@@ -41,15 +41,16 @@
 impl EngineEvents for HttpEvents {
     async fn next(&mut self) -> Result<CacheEvent, EngineError> {
         let line = self.lines.next().await.map_err(EngineError::Lost)?;
-        let line = line.ok_or_else(|| EngineError::Lost("the events ended".into()))?;
+        let line =
+            line.ok_or_else(|| EngineError::Lost("the event stream ended".into()))?;
         let event: EventLine =
             serde_json::from_str(&line).map_err(|e| EngineError::Lost(e.to_string()))?;
         Ok(CacheEvent {
             sequence: event.sequence,
             incarnation: event.incarnation,
             kind: match event.kind {
-                EventWord::Stored => EventKind::Stored,
-                EventWord::Evicted => EventKind::Evicted,
+                EventLineKind::Stored => EventKind::Stored,
+                EventLineKind::Evicted => EventKind::Evicted,
             },
             block: event.block as Fingerprint,
         })
--- a/crates/bilberry-sidecar/src/engine_http/stream.rs
+++ b/crates/bilberry-sidecar/src/engine_http/stream.rs
@@ -1,4 +1,4 @@
-//! A completion in progress at an engine over HTTP, as server-sent events.
+//! Completion streams of an engine over HTTP, as server-sent events.
 
 use hyper::body::Incoming;
 use serde::Deserialize;
@@ -55,13 +55,13 @@
 }
 
 impl HttpStream {
-    /// Reads the events from the body of an answer.
+    /// Reads events from a response body.
     pub(super) fn new(info: EngineInfo, body: Incoming) -> Self {
         Self { info, lines: Lines::new(body), end: StreamEnd::default() }
     }
 
-    /// Takes one event; returns its text, if it has any.
-    fn take(&mut self, data: &str) -> Result<Option<String>, EngineError> {
+    /// Processes an event; returns its text, if any.
+    fn process(&mut self, data: &str) -> Result<Option<String>, EngineError> {
         let line: StreamLine =
             serde_json::from_str(data).map_err(|e| EngineError::Lost(e.to_string()))?;
         if let Some(usage) = line.usage {
@@ -87,8 +87,8 @@
     async fn next(&mut self) -> Result<EngineOutput, EngineError> {
         loop {
             let line = self.lines.next().await.map_err(EngineError::Lost)?;
-            // An engine that dies closes its connection like one that is done.
-            // Only the last line tells the two apart.
+            // An engine that crashes may close its connection like one that has
+            // finished. Only `[DONE]` marks a complete stream.
             let Some(line) = line else {
                 return Err(EngineError::Lost("the stream has no end mark".into()));
             };
@@ -96,7 +96,7 @@
                 None => {}
                 Some("[DONE]") => return Ok(EngineOutput::End(self.end.clone())),
                 Some(data) => {
-                    if let Some(text) = self.take(data)? {
+                    if let Some(text) = self.process(data)? {
                         return Ok(EngineOutput::Text(text));
                     }
                 }
--- a/crates/bilberry-sidecar/src/engine_view.rs
+++ b/crates/bilberry-sidecar/src/engine_view.rs
@@ -1,4 +1,4 @@
-//! What the engine said of itself last, refreshed with its lag.
+//! The last reported state of the engine, which is polled and can be outdated.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,50 +16,51 @@
 use crate::cache::SharedIndex;
 use crate::health::Health;
 
-/// How often the engine is asked.
-const ASK_EVERY: Duration = Duration::from_millis(250);
+/// The interval at which the engine is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What the engine said of itself last.
+/// The last reported state of the engine.
 #[derive(Debug, Default)]
 pub(crate) struct EngineView {
     info: ArcSwap<EngineInfo>,
-    marks: Mutex<Marks>,
+    marks: Mutex<SaltMarks>,
 }
 
-/// Marks on weights whose salt was once used while the engine ran others.
+/// Marks for weights whose salt was used while the engine ran other weights.
 #[derive(Debug, Default)]
-struct Marks {
+struct SaltMarks {
     incarnation: u64,
     by_version: HashMap<String, u32>,
 }
 
 impl EngineView {
-    /// Returns what the engine said last.
+    /// Returns the last reported state.
     pub(crate) fn info(&self) -> Arc<EngineInfo> {
         self.info.load_full()
     }
 
-    /// Takes in what the engine said.
-    pub(crate) fn note(&self, info: EngineInfo) {
+    /// Stores a reported state.
+    pub(crate) fn store(&self, info: EngineInfo) {
         self.info.store(Arc::new(info));
     }
 
-    /// Sets the blocks of a version apart from those that lie under its salt now.
+    /// Changes the salt of a version, so that blocks cached under the current salt are
+    /// no longer used.
     ///
-    /// An attempt with this version's salt met an engine that ran other weights,
-    /// and may have stored blocks of those under the salt. The attempt is thrown
-    /// away, but the blocks stay: were the version loaded again, requests would
-    /// be served from them.
+    /// This is necessary after an attempt with the salt of this version was run by an
+    /// engine with other weights, which may have cached blocks under that salt. The
+    /// attempt is discarded, but the blocks remain: if the version were loaded again,
+    /// requests would use them.
     pub(crate) fn mark(&self, version: &str) {
         let incarnation = self.info().incarnation;
         let mut marks = self.marks.lock().unwrap();
         if marks.incarnation != incarnation {
-            *marks = Marks { incarnation, by_version: HashMap::new() };
+            *marks = SaltMarks { incarnation, by_version: HashMap::new() };
         }
         marks.by_version.insert(version.to_string(), rand::random());
     }
 
-    /// Returns the name under which blocks of the present weights are known.
+    /// Returns the name of the current weights for cache salts, including any mark.
     pub(crate) fn weights(&self) -> Name {
         let info = self.info();
         let marks = self.marks.lock().unwrap();
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Returns the scope of a request on the weights that the engine runs.
+    /// Returns the cache scope of a request on the current weights.
     pub(crate) fn scope(&self, customer: &str, model: &str, adapter: &str) -> Scope {
         Scope {
             customer: customer.into(),
@@ -82,8 +83,8 @@
     }
 }
 
-/// Asks the engine again and again.
-pub(crate) async fn follow_engine<E: Engine>(
+/// Polls the engine; runs until the task is dropped.
+pub(crate) async fn track_engine<E: Engine>(
     engine: E,
     view: Arc<EngineView>,
     admission: Admission,
@@ -91,25 +92,25 @@
     health: Arc<Health>,
 ) {
     loop {
-        let reported = engine.info().await;
-        health.note_report(reported.is_ok());
-        if let Ok(info) = reported {
+        let report = engine.info().await;
+        health.record_report(report.is_ok());
+        if let Ok(info) = report {
             if info.max_running > 0 {
                 admission.set_reported(info.max_running);
             }
-            forget_older_life(&index, info.incarnation);
-            view.note(info);
+            clear_index_after_restart(&index, info.incarnation);
+            view.store(info);
         }
-        tokio::time::sleep(ASK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Empties the index of an engine that came back under another incarnation.
+/// Clears the index if the engine was restarted, that is, has another incarnation.
 ///
-/// Its events may be silent for long, as nothing is stored yet, or hang on a
-/// connection that nobody closed. Until then probes would promise blocks that
-/// died with the engine.
-fn forget_older_life(index: &SharedIndex, incarnation: u64) {
+/// The event stream may not show the restart for a long time, because no block has been
+/// cached yet or because the old connection was not closed. Until then, probe answers
+/// would include blocks that no longer exist.
+fn clear_index_after_restart(index: &SharedIndex, incarnation: u64) {
     let mut index = index.lock().unwrap();
     if index.incarnation() != incarnation {
         index.enter(incarnation);
--- a/crates/bilberry-sidecar/src/exchange.rs
+++ b/crates/bilberry-sidecar/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to an upstream over HTTP, and what its failure proves.
+//! HTTP requests to upstreams, and the classification of their failures.
 
 use std::time::Duration;
 
@@ -16,68 +16,71 @@
 use crate::EngineError;
 use crate::PlainError;
 
-/// A client whose requests have whole bodies.
+/// A client for requests with complete bodies.
 pub(crate) type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Why a request got no answer.
+/// The reason why a request got no response.
 #[derive(Debug)]
-pub(crate) enum NoAnswer {
-    /// No connection opened, so the upstream was not given the request.
+pub(crate) enum ExchangeError {
+    /// No connection was established, so the request was not sent.
     Unreachable(String),
-    /// It broke off; the request may have run.
+    /// The connection failed; the request may have run.
     Lost(String),
 }
 
-/// Sends a request and waits for the head of its answer.
+/// Sends a request and waits for the head of the response.
 pub(crate) async fn exchange(
     client: &HttpClient,
     request: Request<Full<Bytes>>,
-) -> Result<Response<Incoming>, NoAnswer> {
+) -> Result<Response<Incoming>, ExchangeError> {
     match client.request(request).await {
-        Ok(answer) => Ok(answer),
-        // Only a connection that never opened proves that nothing ran.
-        Err(error) if error.is_connect() => Err(NoAnswer::Unreachable(error.to_string())),
-        Err(error) => Err(NoAnswer::Lost(error.to_string())),
+        Ok(response) => Ok(response),
+        // Only if no connection was established is it certain that the request did not
+        // run.
+        Err(error) if error.is_connect() => {
+            Err(ExchangeError::Unreachable(error.to_string()))
+        }
+        Err(error) => Err(ExchangeError::Lost(error.to_string())),
     }
 }
 
-/// Reads the body of an answer, unless it is larger than `most_bytes`.
+/// Reads the body of a response of at most `max_bytes`.
 pub(crate) async fn read_body(
-    answer: Response<Incoming>,
-    most_bytes: usize,
-) -> Result<Bytes, NoAnswer> {
-    match Limited::new(answer.into_body(), most_bytes).collect().await {
+    response: Response<Incoming>,
+    max_bytes: usize,
+) -> Result<Bytes, ExchangeError> {
+    match Limited::new(response.into_body(), max_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
-        Err(error) => Err(NoAnswer::Lost(error.to_string())),
+        Err(error) => Err(ExchangeError::Lost(error.to_string())),
     }
 }
 
-/// Gives up on an engine after `bound`; `late` says so.
-pub(crate) async fn within<T>(
-    bound: Duration,
-    late: &str,
-    waiting: impl Future<Output = Result<T, EngineError>>,
+/// Applies a timeout to an operation of an engine; `message` describes the timeout.
+pub(crate) async fn with_timeout<T>(
+    duration: Duration,
+    message: &str,
+    operation: impl Future<Output = Result<T, EngineError>>,
 ) -> Result<T, EngineError> {
-    match timeout(bound, waiting).await {
+    match timeout(duration, operation).await {
         Ok(result) => result,
-        Err(_) => Err(EngineError::Lost(late.to_string())),
+        Err(_) => Err(EngineError::Lost(message.to_string())),
     }
 }
 
-impl From<NoAnswer> for EngineError {
-    fn from(failure: NoAnswer) -> Self {
+impl From<ExchangeError> for EngineError {
+    fn from(failure: ExchangeError) -> Self {
         match failure {
-            NoAnswer::Unreachable(reason) => Self::Unreachable(reason),
-            NoAnswer::Lost(reason) => Self::Lost(reason),
+            ExchangeError::Unreachable(reason) => Self::Unreachable(reason),
+            ExchangeError::Lost(reason) => Self::Lost(reason),
         }
     }
 }
 
-impl From<NoAnswer> for PlainError {
-    fn from(failure: NoAnswer) -> Self {
+impl From<ExchangeError> for PlainError {
+    fn from(failure: ExchangeError) -> Self {
         match failure {
-            NoAnswer::Unreachable(reason) => Self::Unreachable(reason),
-            NoAnswer::Lost(reason) => Self::Lost(reason),
+            ExchangeError::Unreachable(reason) => Self::Unreachable(reason),
+            ExchangeError::Lost(reason) => Self::Lost(reason),
         }
     }
 }
--- a/crates/bilberry-sidecar/src/health.rs
+++ b/crates/bilberry-sidecar/src/health.rs
@@ -1,4 +1,4 @@
-//! Whether the upstream answers, judged by how the last calls went.
+//! Health of the upstream, based on recent calls and reports.
 
 use std::sync::Mutex;
 
@@ -7,13 +7,13 @@
 use bilberry_core::Clock;
 use bilberry_core::SystemClock;
 
-/// How long an upstream that fails is left alone.
-const LEFT_ALONE_MS: u64 = 1_500;
+/// The time for which a failing upstream gets no calls.
+const BREAKER_OPEN_MS: u64 = 1_500;
 
 /// The health of the upstream.
 ///
-/// An upstream that fails at once looks idle, and without this every entry
-/// would prefer it: a black hole that swallows the whole traffic.
+/// An upstream that fails immediately appears idle. Without circuit breakers, all
+/// entries would prefer it, and it would receive all traffic.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
     calls: Mutex<Breaker>,
@@ -21,7 +21,7 @@
 }
 
 impl Health {
-    /// Reports whether the upstream must not be offered to entries.
+    /// Returns whether entries must not route requests to the upstream.
     pub(crate) fn is_down(&self) -> bool {
         let now = SystemClock.now();
         let is_open = |breaker: &Mutex<Breaker>| {
@@ -30,27 +30,27 @@
         is_open(&self.calls) || is_open(&self.reports)
     }
 
-    /// Asks to make a call.
+    /// Returns whether a call may be made.
     pub(crate) fn admit(&self) -> bool {
         self.calls.lock().unwrap().admit(SystemClock.now())
     }
 
-    /// Notes a call that went well.
+    /// Records a successful call.
     pub(crate) fn succeed(&self) {
         self.calls.lock().unwrap().succeed();
     }
 
-    /// Notes a call that failed.
+    /// Records a failed call.
     pub(crate) fn fail(&self) {
         fail(&self.calls);
     }
 
-    /// Notes whether the upstream reported.
+    /// Records whether a query for the state of the upstream succeeded.
     ///
-    /// Reports are judged apart: one that fails its calls may well report, and a
-    /// good report must not wipe out what the calls have shown.
-    pub(crate) fn note_report(&self, came: bool) {
-        match came {
+    /// Reports have a separate breaker: an upstream whose calls fail may still report
+    /// its state, and a successful report must not reset the breaker for calls.
+    pub(crate) fn record_report(&self, succeeded: bool) {
+        match succeeded {
             true => self.reports.lock().unwrap().succeed(),
             false => fail(&self.reports),
         }
@@ -58,6 +58,6 @@
 }
 
 fn fail(breaker: &Mutex<Breaker>) {
-    let retry_at = SystemClock.now().plus_ms(LEFT_ALONE_MS);
+    let retry_at = SystemClock.now().plus_ms(BREAKER_OPEN_MS);
     breaker.lock().unwrap().fail(retry_at);
 }
--- a/crates/bilberry-sidecar/src/lib.rs
+++ b/crates/bilberry-sidecar/src/lib.rs
@@ -5,7 +5,6 @@
 //! to load weights.
 
 mod admission;
-mod answers;
 mod attempts;
 mod cache;
 mod completion;
@@ -21,6 +20,7 @@
 mod permit;
 mod plain;
 mod plain_call;
+mod refusals;
 mod sidecar;
 mod work;
 
--- a/crates/bilberry-sidecar/src/orders.rs
+++ b/crates/bilberry-sidecar/src/orders.rs
@@ -159,7 +159,7 @@
         // The engine is queried for its weights even if the order failed, as an order
         // whose response was lost may have been executed.
         if let Ok(info) = self.sidecar.engine.info().await {
-            self.sidecar.view.note(info);
+            self.sidecar.view.store(info);
         }
         drop(pause);
         result.map_err(Postponed::Engine)
--- a/crates/bilberry-sidecar/src/plain.rs
+++ b/crates/bilberry-sidecar/src/plain.rs
@@ -1,4 +1,4 @@
-//! The port through which the sidecar meets a plain service, and its adapter.
+//! The interface of the sidecar to a plain service, and its HTTP implementation.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -16,11 +16,11 @@
 use crate::exchange::exchange;
 use crate::exchange::read_body;
 
-/// The largest answer of a service, so that one frame holds it.
+/// The maximum size of an answer, which must fit into a frame.
 const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
-/// The header that carries the key of a call.
-const KEY_HEADER: &str = "idempotency-key";
+/// The header for the idempotency key.
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// A call to a plain service.
 #[derive(Debug, Clone)]
@@ -33,24 +33,24 @@
     pub content_type: String,
     /// The body.
     pub body: Bytes,
-    /// The caller's key; empty without one.
+    /// The caller's idempotency key; empty if there is none.
     pub idempotency_key: String,
 }
 
-/// Why a service failed.
+/// An error of a call to a plain service.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PlainError {
-    /// It can't be reached; it was not given the call.
+    /// The service is unreachable; the call was not sent.
     #[error("the service can't be reached: {0}; check that it runs")]
     Unreachable(String),
-    /// It broke off; the call may have run.
+    /// The connection failed; the call may have run.
     #[error("the service broke off: {0}; check with it whether the call ran")]
     Lost(String),
 }
 
-/// A plain service.
+/// A plain service, which is any HTTP service that is not an engine.
 pub trait PlainService: Clone + Send + Sync + 'static {
-    /// Makes one call, once.
+    /// Makes a call, without retries.
     fn call(
         &self,
         request: PlainRequest,
@@ -65,11 +65,11 @@
 }
 
 impl HttpPlain {
-    /// Creates an adapter; no call is made yet.
+    /// Creates a client; does not connect yet.
     pub fn new(address: SocketAddr) -> Self {
-        // Each call opens its own connection and the client never repeats it. On
-        // a kept connection that the service has just closed, nobody could tell
-        // whether the call ran, and the library's own repeat could run it twice.
+        // Each call uses a new connection and is never retried by the client. If a
+        // pooled connection had just been closed by the service, it would be unknown
+        // whether the call ran, and a retry could run it twice.
         let client = Client::builder(TokioExecutor::new())
             .pool_max_idle_per_host(0)
             .retry_canceled_requests(false)
@@ -87,7 +87,7 @@
             request = request.header(CONTENT_TYPE, call.content_type);
         }
         if !call.idempotency_key.is_empty() {
-            request = request.header(KEY_HEADER, call.idempotency_key);
+            request = request.header(IDEMPOTENCY_KEY_HEADER, call.idempotency_key);
         }
         let request = request
             .body(Full::new(call.body))
--- a/crates/bilberry-sidecar/src/plain_call.rs
+++ b/crates/bilberry-sidecar/src/plain_call.rs
@@ -1,4 +1,4 @@
-//! Running one call on the plain service.
+//! Execution of calls to the plain service.
 
 use bilberry_core::Clock;
 use bilberry_core::Name;
@@ -16,12 +16,12 @@
 use crate::PlainService;
 use crate::Sidecar;
 use crate::Work;
-use crate::answers::may_have_run;
-use crate::answers::not_admitted;
-use crate::answers::not_run;
+use crate::refusals::may_have_run;
+use crate::refusals::not_admitted;
+use crate::refusals::not_run;
 
 impl<P: Platform, E: Engine, S: PlainService> Sidecar<P, E, S> {
-    /// Serves one plain call and ends it with exactly one last message.
+    /// Serves a call to the plain service; sends exactly one final message.
     pub(crate) async fn serve_plain(&self, dispatch: Dispatch, reply: Reply) {
         let deadline = UnixMs(dispatch.deadline_unix_ms);
         let work = Work {
@@ -32,11 +32,11 @@
             output_tokens: 1,
             deadline,
         };
-        let last = match self.admission.enter(work, SystemClock.now()).await {
+        let final_message = match self.admission.enter(work, SystemClock.now()).await {
             Ok(permit) => self.run_plain(&dispatch, &reply, permit).await,
             Err(refusal) => not_admitted(refusal),
         };
-        reply.send(last).await;
+        reply.send(final_message).await;
     }
 
     async fn run_plain(
@@ -45,15 +45,16 @@
         reply: &Reply,
         mut permit: Permit,
     ) -> Body {
-        // A sidecar that was frozen thaws with calls whose callers were told long
-        // ago that they are lost. The stored deadline keeps it from running them.
+        // A sidecar that was suspended may resume with calls that were reported to
+        // their callers as lost. The deadline prevents it from running them.
         if UnixMs(dispatch.deadline_unix_ms).has_passed_at(SystemClock.now()) {
             return not_run("deadline_passed", "the deadline passed", None);
         }
         if !self.health.admit() {
             return not_run("upstream_down", "the service fails; come back later", None);
         }
-        // From here on the entry can't say "not run" of itself.
+        // Once it is notified of the start, the entry can no longer assume that the
+        // call did not run.
         if !reply.send(Body::Started(true)).await {
             return not_run("caller_gone", "the caller went away", None);
         }
--- a/crates/bilberry-sidecar/src/answers.rs
+++ b/crates/bilberry-sidecar/src/refusals.rs
@@ -1,4 +1,4 @@
-//! Refusals, as the sidecar words them.
+//! Construction of refusal messages.
 
 use bilberry_core::retry_after_ms;
 use bilberry_wire::Body;
@@ -6,22 +6,22 @@
 
 use crate::Refusal;
 
-/// The pause that is asked for when nothing better is known.
-const DEFAULT_WAIT_MS: u64 = 1_000;
+/// The base of the retry delay if there is no estimate.
+const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Says that the upstream was not given the request.
+/// Creates a refusal for a request that was not sent to the upstream.
 pub(crate) fn not_run(code: &str, message: &str, wait_ms: Option<u64>) -> Body {
-    refusal(code, message, false, wait_ms.unwrap_or(DEFAULT_WAIT_MS))
+    refusal(code, message, false, wait_ms.unwrap_or(DEFAULT_RETRY_AFTER_MS))
 }
 
-/// Says that the upstream may have been given the request.
+/// Creates a refusal for a request that the upstream may have executed.
 pub(crate) fn may_have_run(code: &str, message: &str) -> Body {
-    refusal(code, message, true, DEFAULT_WAIT_MS)
+    refusal(code, message, true, DEFAULT_RETRY_AFTER_MS)
 }
 
-/// Says that the gate let a request not through.
-pub(crate) fn not_admitted(refused: Refusal) -> Body {
-    match refused {
+/// Creates the refusal for a request that was not admitted.
+pub(crate) fn not_admitted(reason: Refusal) -> Body {
+    match reason {
         Refusal::Busy { wait_ms } => {
             let message = "the upstream is busy; come back after the time in Retry-After";
             not_run("overloaded", message, Some(wait_ms))
--- a/crates/bilberry-sidecar/src/sidecar.rs
+++ b/crates/bilberry-sidecar/src/sidecar.rs
@@ -27,14 +27,14 @@
 use crate::Admission;
 use crate::Engine;
 use crate::PlainService;
-use crate::answers::not_run;
 use crate::attempts::RecentAttempts;
 use crate::cache::SharedIndex;
-use crate::cache::follow_cache;
+use crate::cache::track_cache;
 use crate::engine_view::EngineView;
-use crate::engine_view::follow_engine;
+use crate::engine_view::track_engine;
 use crate::health::Health;
 use crate::orders::start_orders;
+use crate::refusals::not_run;
 
 /// The limit on running requests before a configuration is active.
 const INITIAL_RUNNING_LIMIT: usize = 16;
@@ -85,10 +85,10 @@
     /// Starts the background tasks that track the configuration and, for an engine, its
     /// state and cache. Plain services report no state.
     pub fn follow_upstream(self: &Arc<Self>) {
-        tokio::spawn(self.clone().follow_limits());
+        tokio::spawn(self.clone().track_limits());
         let cache =
-            follow_cache(self.engine.clone(), self.node.clone(), self.index.clone());
-        let engine = follow_engine(
+            track_cache(self.engine.clone(), self.node.clone(), self.index.clone());
+        let engine = track_engine(
             self.engine.clone(),
             self.view.clone(),
             self.admission.clone(),
@@ -105,7 +105,7 @@
     }
 
     /// Applies the limits of each new configuration.
-    async fn follow_limits(self: Arc<Self>) {
+    async fn track_limits(self: Arc<Self>) {
         let mut revisions = self.node.config.subscribe();
         loop {
             let compiled = self.node.config.compiled();
--- a/crates/bilberry-sidecar/src/work.rs
+++ b/crates/bilberry-sidecar/src/work.rs
@@ -1,27 +1,27 @@
-//! The work that one request brings.
+//! The resource requirements of a request.
 
 use bilberry_core::Name;
 use bilberry_core::UnixMs;
 
-/// The work that one request brings.
+/// The resource requirements of a request.
 #[derive(Debug, Clone)]
 pub struct Work {
     /// The customer.
     pub customer: Name,
-    /// The customer's weight.
+    /// The customer's weight in fair queueing.
     pub weight: u64,
     /// The customer's priority.
     pub priority: u8,
-    /// The prompt tokens that have to be computed.
+    /// The number of prompt tokens to compute.
     pub prefill_tokens: u64,
-    /// The tokens of the answer.
+    /// The maximum number of output tokens.
     pub output_tokens: u64,
-    /// When the caller has no more use for an answer.
+    /// The deadline of the request.
     pub deadline: UnixMs,
 }
 
 impl Work {
-    /// Returns the cost by which the upstream is shared.
+    /// Returns the cost of the request in fair queueing.
     pub fn cost(&self) -> u64 {
         self.prefill_tokens + self.output_tokens + 1
     }
