--- a/crates/bilberry-entry/src/claims.rs
+++ b/crates/bilberry-entry/src/claims.rs
@@ -109,7 +109,7 @@
             }
         }
         log::warn!(
-            "failed to record the outcome of {key}; repeats of the key get no answer"
+            "failed to record the outcome of {key}; it stays unknown to repeats of the key"
         );
     }
 
--- a/crates/bilberry-entry/src/run/attempt.rs
+++ b/crates/bilberry-entry/src/run/attempt.rs
@@ -75,7 +75,7 @@
             adapter: self.params.model.adapter.clone(),
             weights: self.params.model.weights.clone(),
         };
-        let ask = RouteRequest {
+        let request = RouteRequest {
             request: self.params.id.clone(),
             pool: self.params.model.pool.clone(),
             customer: self.params.customer.name.clone(),
@@ -85,7 +85,7 @@
             required_weights: self.resumed_weights(),
             tried: self.tried.clone(),
         };
-        let first = self.entry.router.route(&self.params.compiled, &ask).await;
+        let first = self.entry.router.route(&self.params.compiled, &request).await;
         if first.is_some() || !self.any_lost || self.waits >= MAX_WAITS {
             return first.ok_or_else(|| self.no_upstream_error());
         }
@@ -96,8 +96,8 @@
         let left = self.params.deadline.left(SystemClock.now());
         tokio::time::sleep(LOST_UPSTREAM_RETRY_DELAY.min(left)).await;
         self.tried.clear();
-        let ask = RouteRequest { tried: Vec::new(), ..ask };
-        let again = self.entry.router.route(&self.params.compiled, &ask).await;
+        let request = RouteRequest { tried: Vec::new(), ..request };
+        let again = self.entry.router.route(&self.params.compiled, &request).await;
         again.ok_or_else(|| self.no_upstream_error())
     }
 
--- a/crates/bilberry-sidecar/src/admission.rs
+++ b/crates/bilberry-sidecar/src/admission.rs
@@ -69,14 +69,14 @@
     }
 
     /// Sets the configured limits.
-    pub fn set_configured(&self, limit: usize, queue_limit: usize) {
-        self.gate.lock().unwrap().set_configured(limit, queue_limit);
+    pub fn set_configured_limits(&self, limit: usize, queue_limit: usize) {
+        self.gate.lock().unwrap().set_configured_limits(limit, queue_limit);
         self.start_queued();
     }
 
     /// Sets the limit on running requests that the upstream reports.
-    pub fn set_reported(&self, limit: usize) {
-        self.gate.lock().unwrap().set_reported(limit);
+    pub fn set_reported_limit(&self, limit: usize) {
+        self.gate.lock().unwrap().set_reported_limit(limit);
         self.start_queued();
     }
 
@@ -107,7 +107,11 @@
     }
 
     /// Waits until the request is admitted.
-    pub async fn enter(&self, work: Work, now: UnixMs) -> Result<Permit, Refusal> {
+    pub async fn acquire_permit(
+        &self,
+        work: Work,
+        now: UnixMs,
+    ) -> Result<Permit, Refusal> {
         let left = work.deadline.left(now);
         let (outcome_receiver, key) = match self.decide(work, now) {
             Decision::Run(permit) => return Ok(permit),
--- a/crates/bilberry-sidecar/src/completion.rs
+++ b/crates/bilberry-sidecar/src/completion.rs
@@ -39,10 +39,11 @@
     /// Serves a completion; sends exactly one final message.
     pub(crate) async fn serve_completion(&self, dispatch: Dispatch, reply: Reply) {
         let work = self.work_of(&dispatch);
-        let final_message = match self.admission.enter(work, SystemClock.now()).await {
-            Ok(permit) => self.run_completion(&dispatch, &reply, permit).await,
-            Err(refusal) => not_admitted(refusal),
-        };
+        let final_message =
+            match self.admission.acquire_permit(work, SystemClock.now()).await {
+                Ok(permit) => self.run_completion(&dispatch, &reply, permit).await,
+                Err(refusal) => not_admitted(refusal),
+            };
         if let Body::Refused(refused) = &final_message {
             self.node.events.record(&dispatch.request, "refused", refused.code.clone());
         }
--- a/crates/bilberry-sidecar/src/engine_view.rs
+++ b/crates/bilberry-sidecar/src/engine_view.rs
@@ -96,7 +96,7 @@
         health.record_report(report.is_ok());
         if let Ok(info) = report {
             if info.max_running > 0 {
-                admission.set_reported(info.max_running);
+                admission.set_reported_limit(info.max_running);
             }
             clear_index_after_restart(&index, info.incarnation);
             view.store(info);
--- a/crates/bilberry-sidecar/src/gate.rs
+++ b/crates/bilberry-sidecar/src/gate.rs
@@ -60,12 +60,12 @@
         }
     }
 
-    pub(crate) fn set_configured(&mut self, limit: usize, queue_limit: usize) {
+    pub(crate) fn set_configured_limits(&mut self, limit: usize, queue_limit: usize) {
         self.configured_limit = limit;
         self.queue.set_limit(queue_limit);
     }
 
-    pub(crate) fn set_reported(&mut self, limit: usize) {
+    pub(crate) fn set_reported_limit(&mut self, limit: usize) {
         self.reported_limit = limit;
     }
 
--- a/crates/bilberry-sidecar/src/plain_call.rs
+++ b/crates/bilberry-sidecar/src/plain_call.rs
@@ -32,10 +32,11 @@
             output_tokens: 1,
             deadline,
         };
-        let final_message = match self.admission.enter(work, SystemClock.now()).await {
-            Ok(permit) => self.run_plain(&dispatch, &reply, permit).await,
-            Err(refusal) => not_admitted(refusal),
-        };
+        let final_message =
+            match self.admission.acquire_permit(work, SystemClock.now()).await {
+                Ok(permit) => self.run_plain(&dispatch, &reply, permit).await,
+                Err(refusal) => not_admitted(refusal),
+            };
         reply.send(final_message).await;
     }
 
--- a/crates/bilberry-sidecar/src/sidecar.rs
+++ b/crates/bilberry-sidecar/src/sidecar.rs
@@ -110,7 +110,8 @@
         loop {
             let compiled = self.node.config.compiled();
             if let Some(upstream) = compiled.upstreams.get(&self.upstream) {
-                self.admission.set_configured(upstream.max_running, upstream.queue_limit);
+                self.admission
+                    .set_configured_limits(upstream.max_running, upstream.queue_limit);
             }
             if revisions.changed().await.is_err() {
                 return;
