--- a/crates/bilberry-sidecar/src/lib.rs
+++ b/crates/bilberry-sidecar/src/lib.rs
@@ -1,25 +1,26 @@
-//! The sidecar role: the one place that sees all traffic to its upstream.
+//! The sidecar role: a proxy through which all traffic to one upstream passes.
 //!
-//! Whatever must be exact for one upstream is decided here without agreement
-//! between processes: fair queueing, admission, drain, what is cached, orders.
+//! Decisions that must be exact for an upstream are made here, without coordination
+//! between processes: fair queueing, admission, draining, cache tracking and orders
+//! to load weights.
 
 mod admission;
-mod answers;
 mod attempts;
 mod cache;
 mod completion;
 mod engine;
 mod engine_http;
 mod engine_view;
+mod estimates;
 mod exchange;
 mod gate;
 mod health;
-mod learned;
 mod lines;
 mod orders;
 mod permit;
 mod plain;
 mod plain_call;
+mod refusals;
 mod sidecar;
 mod work;
 
