--- a/tests/src/caller.rs
+++ b/tests/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of an entry.
+//! Client of an entry.
 
 use std::net::SocketAddr;
 
@@ -12,60 +12,60 @@
 use crate::http::open;
 use crate::send;
 
-/// A caller with its customer's key.
+/// A client that authenticates with its customer's API key.
 #[derive(Debug, Clone)]
 pub struct Caller {
-    /// The entry.
+    /// Address of the entry.
     pub entry: SocketAddr,
-    /// The key.
+    /// API key of the customer.
     pub key: String,
 }
 
-/// What a caller got of a stream.
+/// The part of a streamed completion that the caller has received.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Answer {
-    /// The status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The text.
+    /// The concatenated completion text.
     pub text: String,
-    /// Whether the end mark came.
+    /// Whether the `[DONE]` event has arrived.
     pub done: bool,
-    /// The error, if one came in place of the answer or within it.
+    /// The error, sent either as the response body or as an event of the stream.
     pub error: Option<Value>,
-    /// When to come back, as the header says.
+    /// The value of the `Retry-After` header.
     pub retry_after: Option<String>,
-    /// Whether the connection broke before the end of the body.
+    /// Whether the connection failed before the end of the body.
     pub broken: bool,
 }
 
 impl Answer {
-    /// Returns a field of the error.
+    /// Returns a string field of the error, or an empty string.
     pub fn error_field(&self, name: &str) -> &str {
         let error = self.error.as_ref();
         error.and_then(|error| error[name].as_str()).unwrap_or("")
     }
 }
 
-/// A stream that is being read.
+/// A streamed completion that is being read.
 #[derive(Debug)]
 pub struct Streaming {
     body: Option<Incoming>,
-    held: Vec<u8>,
+    buffer: Vec<u8>,
     answer: Answer,
 }
 
 impl Caller {
-    /// Creates a caller.
+    /// Creates a client with an API key.
     pub fn new(entry: SocketAddr, key: &str) -> Self {
         Self { entry, key: key.to_string() }
     }
 
-    /// Asks for a streamed completion and reads it to its end.
+    /// Requests a streamed completion and reads it to the end.
     pub async fn complete(&self, prompt: &str, tokens: u32) -> Answer {
         self.start(prompt, tokens).await.finish().await
     }
 
-    /// Asks for a streamed completion and returns once its head is there.
+    /// Requests a streamed completion and returns once the response head has arrived.
     pub async fn start(&self, prompt: &str, tokens: u32) -> Streaming {
         let body = json!({
             "model": "m", "prompt": prompt, "max_tokens": tokens, "stream": true,
@@ -82,19 +82,19 @@
                 let retry_after = retry_after.map(str::to_string);
                 Streaming {
                     body: Some(answer.into_body()),
-                    held: Vec::new(),
+                    buffer: Vec::new(),
                     answer: Answer { status, retry_after, ..Answer::default() },
                 }
             }
             Err(_) => Streaming {
                 body: None,
-                held: Vec::new(),
+                buffer: Vec::new(),
                 answer: Answer { broken: true, ..Answer::default() },
             },
         }
     }
 
-    /// Sends any request with the caller's key.
+    /// Sends a request with the caller's API key.
     pub async fn send(
         &self,
         method: &str,
@@ -108,7 +108,7 @@
         send(method, &format!("http://{}{path}", self.entry), &all, body).await
     }
 
-    /// Calls the service's non-idempotent path under a key.
+    /// Calls the non-idempotent path of the service with an idempotency key.
     pub async fn call_once(&self, key: &str, body: &str) -> Result<Reply, String> {
         self.send(
             "POST",
@@ -121,33 +121,33 @@
 }
 
 impl Streaming {
-    /// Returns what has come so far.
+    /// Returns what has been received so far.
     pub fn so_far(&self) -> &Answer {
         &self.answer
     }
 
-    /// Reads until at least `tokens` tokens have come, or the end.
+    /// Reads until at least `tokens` tokens have arrived or the stream ends.
     pub async fn read_tokens(&mut self, tokens: usize) {
         while self.answer.text.split_whitespace().count() < tokens {
-            if !self.read_more().await {
+            if !self.read_frame().await {
                 return;
             }
         }
     }
 
-    /// Reads to the end.
+    /// Reads the stream to the end.
     pub async fn finish(mut self) -> Answer {
-        while self.read_more().await {}
+        while self.read_frame().await {}
         self.answer
     }
 
-    async fn read_more(&mut self) -> bool {
+    async fn read_frame(&mut self) -> bool {
         let Some(body) = &mut self.body else { return false };
         match body.frame().await {
             Some(Ok(frame)) => {
                 let data = frame.into_data().unwrap_or_default();
-                self.held.extend_from_slice(&data);
-                self.take_events();
+                self.buffer.extend_from_slice(&data);
+                self.parse_events();
                 true
             }
             Some(Err(_)) => {
@@ -155,25 +155,25 @@
                 false
             }
             None => {
-                self.take_rest();
+                self.parse_error_body();
                 false
             }
         }
     }
 
-    fn take_events(&mut self) {
-        while let Some(end) = self.held.windows(2).position(|two| two == b"\n\n") {
-            let event: Vec<u8> = self.held.drain(..end + 2).collect();
+    fn parse_events(&mut self) {
+        while let Some(end) = self.buffer.windows(2).position(|two| two == b"\n\n") {
+            let event: Vec<u8> = self.buffer.drain(..end + 2).collect();
             let event = String::from_utf8_lossy(&event);
             match event.trim().strip_prefix("data: ") {
                 Some("[DONE]") => self.answer.done = true,
-                Some(data) => self.take_event(data),
+                Some(data) => self.apply_event(data),
                 None => {}
             }
         }
     }
 
-    fn take_event(&mut self, data: &str) {
+    fn apply_event(&mut self, data: &str) {
         let event: Value = serde_json::from_str(data).unwrap_or_default();
         let text = event["choices"][0]["text"].as_str().unwrap_or_default();
         self.answer.text.push_str(text);
@@ -182,9 +182,9 @@
         }
     }
 
-    /// Reads an error that came in place of a stream.
-    fn take_rest(&mut self) {
-        let rest: Value = serde_json::from_slice(&self.held).unwrap_or_default();
+    /// Parses an error that was sent as the response body.
+    fn parse_error_body(&mut self) {
+        let rest: Value = serde_json::from_slice(&self.buffer).unwrap_or_default();
         if !rest["error"].is_null() {
             self.answer.error = Some(rest["error"].clone());
         }
--- a/tests/src/fleet.rs
+++ b/tests/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole fleet of real processes.
+//! A fleet of real processes: entries, sidecars, upstreams and the platform.
 
 mod launch;
 mod observe;
@@ -17,12 +17,12 @@
 use crate::Running;
 use crate::send;
 
-/// The token of the test's administrator.
+/// The bearer token of the administrator.
 const TOKEN: &str = "operator";
 
-/// A whole fleet of real processes.
+/// A fleet of real processes.
 ///
-/// Upstreams are numbered, engines first, then the servers of the service.
+/// Upstream indices cover the engines first, then the servers of the service.
 #[derive(Debug)]
 pub struct Fleet {
     /// The entries.
@@ -31,19 +31,19 @@
     pub sidecars: Vec<Running>,
     /// The upstreams.
     pub upstreams: Vec<Running>,
-    /// The proxies before the sidecars, if planned.
+    /// The fault proxies in front of the sidecars, if configured.
     pub links: Vec<FaultProxy>,
-    /// The proxy before the platform, if planned.
+    /// The fault proxy in front of the platform, if configured.
     pub platform_link: Option<FaultProxy>,
     /// The platform.
     pub platform: Running,
-    /// The plan.
+    /// The configuration of the fleet.
     pub plan: Plan,
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
 impl Fleet {
-    /// Starts the planned processes and waits until requests can be served.
+    /// Starts the configured processes and waits until the fleet can serve requests.
     pub async fn start(plan: Plan) -> Self {
         let platform = Running::start("bilberry-standin", vec!["platform".to_string()]);
         let mut platform_link = None;
@@ -58,7 +58,7 @@
             platform_link,
             platform,
             plan,
-            folder: new_folder(),
+            directory: create_temp_dir(),
         };
         fleet.start_upstreams().await;
         for at in 0..fleet.plan.entries {
@@ -69,18 +69,20 @@
         fleet
             .apply(0, &[("10-tests.toml", &piece)])
             .await
-            .expect("a planned piece is good");
+            .expect("the generated configuration is valid");
         fleet.wait_until_ready().await;
         fleet
     }
 
-    /// Returns a caller of an entry.
+    /// Returns a client of an entry with the API key of a customer.
     pub fn caller(&self, entry: usize, customer: &str) -> Caller {
         let address = self.entries[entry].address("callers");
         Caller::new(address, &format!("key-{customer}"))
     }
 
-    /// Applies files through the administration API of an entry.
+    /// Applies configuration files through the administration API of an entry.
+    ///
+    /// Returns the new revision, or the body of the error response.
     pub async fn apply(
         &self,
         entry: usize,
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Calls the administration API of an entry.
+    /// Calls the administration API of an entry as its administrator.
     pub async fn admin(
         &self,
         entry: usize,
@@ -112,29 +114,29 @@
         send(method, &format!("http://{address}{path}"), &headers, body.to_string()).await
     }
 
-    /// Sets the faults of a stand-in.
+    /// Sets the injected faults of a stand-in.
     pub async fn set_faults<T: Serialize>(&self, standin: &Running, faults: &T) {
         let url = format!("http://{}/standin/faults", standin.address("address"));
         let body = serde_json::to_string(faults).expect("faults serialise");
         send("PUT", &url, &[], body).await.expect("a stand-in answers");
     }
 
-    /// Has the platform keep a copy of its objects.
+    /// Makes the platform take a snapshot of its objects.
     pub async fn copy_platform(&self) {
-        self.set_standin("copy").await;
+        self.put_platform("copy").await;
     }
 
-    /// Has the platform come back from the copy that it kept.
+    /// Makes the platform restore its objects from the last snapshot.
     pub async fn return_platform(&self) {
-        self.set_standin("return").await;
+        self.put_platform("return").await;
     }
 
-    async fn set_standin(&self, what: &str) {
-        let url = format!("http://{}/standin/{what}", self.platform.address("address"));
+    async fn put_platform(&self, action: &str) {
+        let url = format!("http://{}/standin/{action}", self.platform.address("address"));
         send("PUT", &url, &[], String::new()).await.expect("a stand-in answers");
     }
 
-    /// Sets the host list.
+    /// Sets the host list of the platform, published with a delay of `lag_ms`.
     pub async fn set_hosts(&self, hosts: &[(&str, &str)], lag_ms: u64) {
         let hosts: Vec<_> = hosts
             .iter()
@@ -148,15 +150,15 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-fn new_folder() -> PathBuf {
+fn create_temp_dir() -> PathBuf {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let count = COUNT.fetch_add(1, Ordering::Relaxed);
     let name = format!("bilberry-tests-{}-{count}", std::process::id());
-    let folder = std::env::temp_dir().join(name);
-    std::fs::create_dir_all(&folder).expect("a folder can be made");
-    folder
+    let directory = std::env::temp_dir().join(name);
+    std::fs::create_dir_all(&directory).expect("the temporary directory can be created");
+    directory
 }
--- a/tests/src/fleet/launch.rs
+++ b/tests/src/fleet/launch.rs
@@ -1,4 +1,4 @@
-//! Starting the processes of a fleet, each with its settings.
+//! Starts the processes of a fleet and writes their settings files.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -11,7 +11,7 @@
 use crate::process::free_address;
 
 impl Fleet {
-    /// Starts another sidecar of an upstream that has one, as its replacement.
+    /// Starts a second sidecar for an upstream, as a replacement for the first.
     pub fn start_second_sidecar(&self, at: usize) -> Running {
         let upstream = self.upstreams[at].address("address");
         let settings = self.settings(at, Some(upstream), None);
@@ -21,7 +21,7 @@
         Running::start("bilberryd", arguments(&path))
     }
 
-    /// Kills an entry and starts it anew on the same addresses.
+    /// Kills an entry, restarts it on the same addresses and waits until it is ready.
     pub async fn restart_entry(&mut self, at: usize) {
         self.entries[at].kill();
         self.entries[at].restart();
@@ -126,8 +126,8 @@
     }
 
     fn write_settings(&self, name: &str, text: &str) -> PathBuf {
-        let path = self.folder.join(format!("{name}.toml"));
-        std::fs::write(&path, text).expect("the folder can be written");
+        let path = self.directory.join(format!("{name}.toml"));
+        std::fs::write(&path, text).expect("the settings file can be written");
         path
     }
 }
--- a/tests/src/fleet/observe.rs
+++ b/tests/src/fleet/observe.rs
@@ -1,4 +1,4 @@
-//! What a test can see of its fleet, and wait for.
+//! Queries and wait conditions on a fleet.
 
 use bilberry_standins::EngineCounters;
 use bilberry_standins::PlatformCounters;
@@ -12,7 +12,7 @@
 use crate::send;
 
 impl Fleet {
-    /// Returns the state of all processes as one entry sees it.
+    /// Returns the status of all processes as reported by one entry.
     pub async fn status(&self, entry: usize) -> Vec<Value> {
         match self.admin(entry, "GET", "/v1/status", "").await {
             Ok(reply) => reply.json().as_array().cloned().unwrap_or_default(),
@@ -20,22 +20,22 @@
         }
     }
 
-    /// Returns the decisions that processes remember, the first one first.
+    /// Returns the routing decisions in the order of the timeline.
     pub async fn decisions(&self) -> Vec<Value> {
         let reply = self.admin(0, "GET", "/v1/timeline", "").await;
-        let line = reply.map(|reply| reply.json()).unwrap_or_default();
-        let events = line.as_array().cloned().unwrap_or_default();
+        let timeline = reply.map(|reply| reply.json()).unwrap_or_default();
+        let events = timeline.as_array().cloned().unwrap_or_default();
         let routed = events.iter().filter(|event| event["what"] == "routed");
         let details = routed.filter_map(|event| event["detail"].as_str());
         details.filter_map(|detail| serde_json::from_str(detail).ok()).collect()
     }
 
-    /// Returns what an engine counted.
+    /// Returns the counters of an engine.
     pub async fn engine(&self, at: usize) -> EngineCounters {
         self.counters(&self.upstreams[at]).await
     }
 
-    /// Returns what all engines counted, added up.
+    /// Returns the total number of runs on all engines.
     pub async fn engine_runs(&self) -> u64 {
         let mut runs = 0;
         for at in 0..self.plan.engines.len() {
@@ -44,7 +44,7 @@
         runs
     }
 
-    /// Returns how often all servers together ran the call with a key.
+    /// Returns how many times the service servers ran the call with an idempotency key.
     pub async fn runs_of(&self, key: &str) -> u64 {
         let mut runs = 0;
         for at in self.plan.engines.len()..self.upstreams.len() {
@@ -54,12 +54,12 @@
         runs
     }
 
-    /// Returns the calls that the platform counted.
+    /// Returns the counters of the platform.
     pub async fn platform_calls(&self) -> PlatformCounters {
         self.counters(&self.platform).await
     }
 
-    /// Returns a metric of a process.
+    /// Returns the first metric of a process whose line starts with `name`.
     pub async fn metric(&self, process: &Running, name: &str) -> Option<f64> {
         let url = format!("http://{}/metrics", process.address("operations"));
         let reply = send("GET", &url, &[], "").await.ok()?;
@@ -68,7 +68,8 @@
         line.rsplit(' ').next()?.parse().ok()
     }
 
-    /// Waits until every entry is ready and every sidecar knows its upstream.
+    /// Waits until all processes are ready and every entry sees every sidecar with
+    /// the weights of its engine.
     pub async fn wait_until_ready(&self) {
         for process in self.entries.iter().chain(&self.sidecars) {
             self.wait_ready(process).await;
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Waits until a process says that it is ready.
+    /// Waits until a process reports ready on `/readyz`.
     pub async fn wait_ready(&self, process: &Running) {
         let url = format!("http://{}/readyz", process.address("operations"));
         eventually("a process gets ready", || async {
@@ -99,7 +100,7 @@
         .await;
     }
 
-    /// Waits until a process has a revision in force.
+    /// Waits until a process has applied `revision` or a later one.
     pub async fn wait_revision(&self, process: &Running, revision: u64) {
         eventually("a revision gets in force", || async {
             let found = self.metric(process, "bilberry_config_revision").await?;
--- a/tests/src/http.rs
+++ b/tests/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for tests.
+//! Minimal HTTP client for tests.
 
 use std::sync::LazyLock;
 
@@ -14,10 +14,10 @@
 use hyper_util::rt::TokioExecutor;
 use serde_json::Value;
 
-/// A whole answer.
+/// A fully read HTTP response.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// The status.
+    /// The status code.
     pub status: u16,
     /// The headers.
     pub headers: HeaderMap,
@@ -26,26 +26,28 @@
 }
 
 impl Reply {
-    /// Returns the body as JSON.
+    /// Parses the body as JSON; returns `Null` if it is not valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// Returns a header as text.
+    /// Returns a header value, if it is present and visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// Sends a request and reads the whole answer; the error is for people.
+/// Sends a request and reads the whole response body.
+///
+/// The error is human-readable text.
 pub async fn send(
     method: &str,
     url: &str,
     headers: &[(&str, &str)],
     body: impl Into<Bytes>,
 ) -> Result<Reply, String> {
-    let answer = open(method, url, headers, body.into()).await?;
-    let (head, body) = answer.into_parts();
+    let response = open(method, url, headers, body.into()).await?;
+    let (head, body) = response.into_parts();
     let body = body.collect().await.map_err(|error| error.to_string())?;
     Ok(Reply {
         status: head.status.as_u16(),
@@ -54,12 +56,12 @@
     })
 }
 
-/// Reads a page without a key.
+/// Sends a GET request without credentials.
 pub async fn get(url: String) -> Result<Reply, String> {
     send("GET", &url, &[], "").await
 }
 
-/// Sends a request and returns with the head of the answer.
+/// Sends a request and returns once the response head has arrived.
 pub(crate) async fn open(
     method: &str,
     url: &str,
@@ -75,10 +77,10 @@
     client.request(request).await.map_err(|error| error.to_string())
 }
 
-/// Returns a client that opens a connection for each request.
+/// Returns a client without connection reuse.
 ///
-/// Tests run on runtimes of their own, and a kept connection would belong to one
-/// that is gone.
+/// Each test has its own Tokio runtime, and a pooled connection would belong to a
+/// runtime that has shut down.
 fn client() -> Client<HttpConnector, Full<Bytes>> {
     static CLIENT: LazyLock<Client<HttpConnector, Full<Bytes>>> = LazyLock::new(|| {
         Client::builder(TokioExecutor::new()).pool_max_idle_per_host(0).build_http()
--- a/tests/src/lib.rs
+++ b/tests/src/lib.rs
@@ -1,5 +1,6 @@
-//! The fixture of the integration tests: real processes on loopback, started,
-//! killed, frozen and cut off from each other.
+//! Fixture for the integration tests.
+//!
+//! Starts real processes on loopback, and can kill, suspend and partition them.
 
 mod caller;
 mod fleet;
@@ -24,10 +25,12 @@
 
 use tokio::time::Instant;
 
-/// How long a test waits for something that must come.
+/// Timeout for any condition that a test waits for.
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
-/// Waits until `check` yields something; panics with `what` if it never does.
+/// Polls `check` until it returns a value.
+///
+/// Panics with `what` after [`PATIENCE`].
 pub async fn eventually<T>(what: &str, mut check: impl AsyncFnMut() -> Option<T>) -> T {
     let until = Instant::now() + PATIENCE;
     loop {
--- a/tests/src/plan.rs
+++ b/tests/src/plan.rs
@@ -1,35 +1,35 @@
-//! What a test's fleet looks like.
+//! Configuration of a test fleet.
 
 use std::fmt::Write;
 
 use bilberry_standins::EngineTraits;
 
-/// What a test's fleet looks like.
+/// Configuration of a test fleet.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// How many entries.
+    /// Number of entries.
     pub entries: usize,
     /// The engines, each with a sidecar.
     pub engines: Vec<EngineTraits>,
-    /// How many servers the plain service has, each with a sidecar.
+    /// Number of servers of the plain service, each with a sidecar.
     pub services: usize,
-    /// Puts a fault proxy before each sidecar.
+    /// Whether to place a fault proxy in front of each sidecar.
     pub proxied_sidecars: bool,
-    /// Puts a fault proxy before the platform.
+    /// Whether to place a fault proxy in front of the platform.
     pub proxied_platform: bool,
-    /// Lines for the pool of engines.
+    /// TOML lines for the engines' `[[pool]]` table.
     pub pool: String,
-    /// Lines for each engine's upstream.
+    /// TOML lines for the `[[upstream]]` table of each engine.
     pub upstream: String,
-    /// Lines for the service.
+    /// TOML lines for the `[[service]]` table.
     pub service: String,
-    /// Lines for each customer, by name.
+    /// Customer names, each with TOML lines for its `[[customer]]` table.
     pub customers: Vec<(String, String)>,
-    /// Lines for the settings of every process, such as whole tables.
+    /// TOML appended to the settings of every process, such as whole tables.
     pub settings: String,
-    /// Lines for the table of limits.
+    /// TOML lines for the `[limits]` table.
     pub limits: String,
-    /// The weights that the model is to run.
+    /// The weights configured for the model.
     pub weights: String,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl Plan {
-    /// Returns a plan with `count` equal engines.
+    /// Returns a plan with `count` identical engines.
     pub fn engines(count: usize) -> Self {
         Self { engines: vec![EngineTraits::default(); count], ..Self::default() }
     }
@@ -66,7 +66,7 @@
         Self { engines: Vec::new(), services: count, ..Self::default() }
     }
 
-    /// Returns the one piece of configuration.
+    /// Renders the configuration file of the fleet as TOML.
     pub fn piece(&self) -> String {
         let mut text = "owner = \"tests\"\n".to_string();
         for (name, lines) in &self.customers {
--- a/tests/src/process.rs
+++ b/tests/src/process.rs
@@ -1,4 +1,4 @@
-//! One process that a test started.
+//! Child processes of tests.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -21,13 +21,13 @@
 
 use crate::PATIENCE;
 
-/// The first port that tests take.
+/// First port of the range that tests allocate from.
 const FIRST_PORT: u32 = 10_000;
 
-/// How many ports tests take.
-const PORTS: u32 = 20_000;
+/// Number of ports in the range that tests allocate from.
+const PORT_COUNT: u32 = 20_000;
 
-/// A process that a test started; it is killed with the test.
+/// A child process of a test, killed on drop.
 #[derive(Debug)]
 pub struct Running {
     child: Child,
@@ -38,7 +38,7 @@
 }
 
 impl Running {
-    /// Starts a program of this workspace and waits for its addresses.
+    /// Starts a workspace binary and waits until it prints its listening addresses.
     pub fn start(program: &'static str, arguments: Vec<String>) -> Self {
         let log = log_path(program);
         let (child, addresses) = spawn(program, &arguments, &log);
@@ -52,33 +52,33 @@
         self.addresses = addresses;
     }
 
-    /// Returns where the process listens for `what`.
+    /// Returns the address of the listener named `what`.
     pub fn address(&self, what: &str) -> SocketAddr {
         self.addresses[what]
     }
 
-    /// Kills the process at once.
+    /// Kills the process with `SIGKILL` and reaps it.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Freezes the process.
+    /// Suspends the process with `SIGSTOP`.
     pub fn freeze(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a suspended process with `SIGCONT`.
     pub fn thaw(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Asks the process to stop in a planned way.
+    /// Requests a graceful shutdown with `SIGTERM`.
     pub fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// Waits for the process to end.
+    /// Waits for the process to exit.
     pub async fn ended(&mut self) -> ExitStatus {
         let until = tokio::time::Instant::now() + PATIENCE;
         loop {
@@ -103,25 +103,25 @@
                 "the log of {} {:?}:\n{}",
                 self.program,
                 self.arguments,
-                read(&self.log)
+                read_log(&self.log)
             );
         }
         let _ = std::fs::remove_file(&self.log);
     }
 }
 
-/// Returns a free address that stays free until it is listened on.
+/// Returns a free loopback address that stays free until it is bound.
 ///
-/// Ports that the system gives out are also given to outgoing connections, so
-/// one that a killed process had may be taken before it comes up again. Below
-/// that range only these tests take ports, and each test process has a loopback
-/// address of its own, so that two of them never choose the same.
+/// Ephemeral ports are also assigned to outgoing connections, so the port of a
+/// killed process could be taken before the process restarts. Only these tests
+/// allocate ports below the ephemeral range, and each test process uses its own
+/// loopback address, so two test processes never pick the same address.
 pub(crate) fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     loop {
         let count = NEXT.fetch_add(1, Ordering::Relaxed);
-        let port = FIRST_PORT + count % PORTS;
+        let port = FIRST_PORT + count % PORT_COUNT;
         let address =
             SocketAddr::from(([127, 128 | high & 0x3f, middle, low], port as u16));
         if TcpListener::bind(address).is_ok() {
@@ -130,10 +130,10 @@
     }
 }
 
-/// Returns the path of a program that was built with the tests.
+/// Returns the path of a workspace binary in the target directory of the test.
 pub fn program_path(program: &str) -> PathBuf {
-    let test = std::env::current_exe().expect("a test has a path");
-    let built = test.ancestors().nth(2).expect("tests stand two folders below");
+    let test = std::env::current_exe().expect("the path of the test binary is known");
+    let built = test.ancestors().nth(2).expect("test binaries are in `deps`");
     let path = built.join(program);
     assert!(
         path.exists(),
@@ -142,7 +142,7 @@
     path
 }
 
-/// Returns where a process logs to; the log is shown if its test fails.
+/// Returns the log path of a process; the log is printed if its test fails.
 fn log_path(program: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let count = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -150,7 +150,7 @@
     std::env::temp_dir().join(name)
 }
 
-fn read(log: &Path) -> String {
+fn read_log(log: &Path) -> String {
     std::fs::read_to_string(log).unwrap_or_else(|error| format!("(none: {error})"))
 }
 
@@ -169,19 +169,19 @@
         .stderr(errors)
         .spawn()
         .unwrap_or_else(|error| panic!("{program} can't be started: {error}"));
-    let output = child.stdout.take().expect("the output is piped");
+    let output = child.stdout.take().expect("stdout is piped");
     let mut line = String::new();
     let _ = BufReader::new(output).read_line(&mut line);
     let pairs = line.split_whitespace().filter_map(|pair| pair.split_once('='));
     let addresses: BTreeMap<_, _> = pairs
         .filter_map(|(name, address)| Some((name.to_string(), address.parse().ok()?)))
         .collect();
-    let log = || read(log);
+    let log = || read_log(log);
     assert!(!addresses.is_empty(), "{program} {arguments:?} did not start: {}", log());
     (child, addresses)
 }
 
 fn log_file(log: &Path) -> Stdio {
     let file = File::options().create(true).append(true).open(log);
-    Stdio::from(file.expect("the temporary folder can be written to"))
+    Stdio::from(file.expect("the log file can be opened"))
 }
--- a/tests/src/proxy.rs
+++ b/tests/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A fault-injecting proxy in front of one address, by the library `noxious`.
+//! Fault-injecting TCP proxy, based on `noxious`.
 
 use std::net::SocketAddr;
 
@@ -22,23 +22,23 @@
 use crate::eventually;
 use crate::process::free_address;
 
-/// How many changes may wait for the proxy.
-const CHANGES: usize = 16;
+/// Capacity of the queue of toxic events.
+const EVENT_QUEUE_CAPACITY: usize = 16;
 
-/// A proxy between two processes, with faults that a test switches.
+/// A TCP proxy between two processes with faults that a test can toggle.
 #[derive(Debug)]
 pub struct FaultProxy {
-    /// Where the proxy listens.
+    /// The listening address.
     pub address: SocketAddr,
     upstream: SocketAddr,
-    live: Option<Live>,
+    handle: Option<ProxyHandle>,
 }
 
 #[derive(Debug)]
-struct Live {
+struct ProxyHandle {
     stopper: Stopper,
-    changes: RequestSender<ToxicEvent, ToxicEventResult>,
-    running: JoinHandle<()>,
+    events: RequestSender<ToxicEvent, ToxicEventResult>,
+    task: JoinHandle<()>,
 }
 
 impl FaultProxy {
@@ -49,51 +49,53 @@
 
     /// Starts a proxy at `address` in front of `upstream`.
     pub async fn start_at(address: SocketAddr, upstream: SocketAddr) -> Self {
-        let live = run(address, upstream, Toxics::empty()).await;
-        assert!(live.is_some(), "{address} was taken meanwhile");
-        Self { address, upstream, live }
+        let handle = run(address, upstream, Toxics::empty()).await;
+        assert!(handle.is_some(), "{address} was taken meanwhile");
+        Self { address, upstream, handle }
     }
 
-    /// Cuts all connections and refuses new ones.
+    /// Closes all connections and refuses new ones.
     pub async fn cut(&mut self) {
-        if let Some(live) = self.live.take() {
-            live.stopper.stop();
-            let _ = live.running.await;
+        if let Some(handle) = self.handle.take() {
+            handle.stopper.stop();
+            let _ = handle.task.await;
         }
     }
 
-    /// Takes connections again.
+    /// Removes all faults and accepts connections again.
     pub async fn heal(&mut self) {
-        if self.live.is_none() {
-            self.run_again(Toxics::empty()).await;
+        if self.handle.is_none() {
+            self.restart(Toxics::empty()).await;
         }
         self.clear().await;
     }
 
-    /// Swallows everything in both directions, as a link that lost its other end.
+    /// Drops all data in both directions while connections stay open, like a
+    /// network partition without resets.
     pub async fn swallow(&self) {
         let kind = ToxicKind::Timeout { timeout: 0 };
-        self.add("swallow_up", kind, StreamDirection::Upstream).await;
-        self.add("swallow_down", kind, StreamDirection::Downstream).await;
+        self.add_toxic("swallow_up", kind, StreamDirection::Upstream).await;
+        self.add_toxic("swallow_down", kind, StreamDirection::Downstream).await;
     }
 
-    /// Delays everything that comes back.
+    /// Delays all data from the upstream.
     pub async fn delay_answers(&self, latency_ms: u64) {
         let kind = ToxicKind::Latency { latency: latency_ms, jitter: 0 };
-        self.add("delay_down", kind, StreamDirection::Downstream).await;
+        self.add_toxic("delay_down", kind, StreamDirection::Downstream).await;
     }
 
-    /// Cuts each new connection after `bytes` have gone towards the upstream.
+    /// Closes each new connection after `bytes` have been sent to the upstream.
     pub async fn cut_after_sent(&mut self, bytes: u64) {
         self.cut_after(bytes, StreamDirection::Upstream).await;
     }
 
-    /// Cuts each new connection after `bytes` have come back.
+    /// Closes each new connection after `bytes` have been received from the upstream.
     pub async fn cut_after_answered(&mut self, bytes: u64) {
         self.cut_after(bytes, StreamDirection::Downstream).await;
     }
 
-    /// Starts anew with a limit, which the library counts for new connections only.
+    /// Restarts the proxy with a byte limit, because `noxious` applies limits to new
+    /// connections only.
     async fn cut_after(&mut self, bytes: u64, direction: StreamDirection) {
         self.cut().await;
         let kind = ToxicKind::LimitData { bytes };
@@ -103,41 +105,46 @@
             StreamDirection::Upstream => toxics.upstream.push(toxic),
             StreamDirection::Downstream => toxics.downstream.push(toxic),
         }
-        self.run_again(toxics).await;
+        self.restart(toxics).await;
     }
 
-    /// Listens again at the same address.
+    /// Starts listening on the same address again.
     ///
-    /// On a busy machine the port may still be in use for a moment after the proxy
-    /// has ended. Tried once, a test fails before any link is cut.
-    async fn run_again(&mut self, toxics: Toxics) {
+    /// Retries the bind: on a busy machine the port can remain in use briefly after
+    /// the proxy has stopped, and a single attempt fails the test before any link
+    /// is cut.
+    async fn restart(&mut self, toxics: Toxics) {
         let (address, upstream) = (self.address, self.upstream);
-        let again = eventually("the proxy's port is free again", async || {
+        let handle = eventually("the proxy's port is free again", async || {
             run(address, upstream, toxics.clone()).await
         });
-        self.live = Some(again.await);
+        self.handle = Some(handle.await);
     }
 
-    /// Removes all faults; connections stay.
+    /// Removes all faults without closing connections.
     pub async fn clear(&self) {
-        self.change(ToxicEventKind::RemoveAllToxics).await;
+        self.send_event(ToxicEventKind::RemoveAllToxics).await;
     }
 
-    async fn add(&self, name: &str, kind: ToxicKind, direction: StreamDirection) {
+    async fn add_toxic(&self, name: &str, kind: ToxicKind, direction: StreamDirection) {
         let name = name.to_string();
         let toxic = Toxic { kind, name, toxicity: 1.0, direction };
-        self.change(ToxicEventKind::AddToxic(toxic)).await;
+        self.send_event(ToxicEventKind::AddToxic(toxic)).await;
     }
 
-    async fn change(&self, kind: ToxicEventKind) {
-        if let Some(live) = &self.live {
+    async fn send_event(&self, kind: ToxicEventKind) {
+        if let Some(handle) = &self.handle {
             let event = ToxicEvent::new(self.address.to_string(), kind);
-            let _ = live.changes.send_receive(event).await;
+            let _ = handle.events.send_receive(event).await;
         }
     }
 }
 
-async fn run(address: SocketAddr, upstream: SocketAddr, toxics: Toxics) -> Option<Live> {
+async fn run(
+    address: SocketAddr,
+    upstream: SocketAddr,
+    toxics: Toxics,
+) -> Option<ProxyHandle> {
     let config = ProxyConfig {
         name: address.to_string(),
         listen: address.to_string(),
@@ -147,15 +154,15 @@
     };
     let started = ProxyRunner::initialize_proxy::<TcpListener>(config, toxics);
     let (listener, info) = started.await.ok()?;
-    let (changes, receiver) = bmrng::channel(CHANGES);
+    let (events, receiver) = bmrng::channel(EVENT_QUEUE_CAPACITY);
     let (stop, stopper) = Stop::new();
-    let (_closed, closer) = closing();
-    let running = tokio::spawn(async move {
+    let (_closed, closer) = close_signal();
+    let task = tokio::spawn(async move {
         let _ = ProxyRunner::run_proxy(listener, info, receiver, stop, closer).await;
     });
-    Some(Live { stopper, changes, running })
+    Some(ProxyHandle { stopper, events, task })
 }
 
-fn closing() -> (noxious::signal::Close, Closer) {
+fn close_signal() -> (noxious::signal::Close, Closer) {
     noxious::signal::Close::new()
 }
