--- a/tests/tests/at_most_once.rs
+++ b/tests/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! A non-idempotent call runs at most once, whatever fails and whoever repeats it.
+//! Non-idempotent calls run at most once, despite failures and retries.
 
 use std::time::Duration;
 
@@ -16,15 +16,16 @@
 use bilberry_wire::Kind;
 use bilberry_wire::Member;
 
-/// The key of most tests.
+/// Default idempotency key.
 const KEY: &str = "schedule-42";
 
-/// Starts two entries before two servers of one service, links proxied.
+/// Starts two entries and two servers of one service, with fault proxies in front
+/// of the sidecars.
 async fn fleet() -> Fleet {
     Fleet::start(Plan { entries: 2, proxied_sidecars: true, ..Plan::services(2) }).await
 }
 
-/// Returns what an answer says of the run.
+/// Returns the run state that a response reports.
 fn run_state(reply: &Reply) -> String {
     match reply.status {
         200 => "ran".to_string(),
@@ -47,13 +48,13 @@
     caller.send("POST", "/services/s/run", &headers, "the schedule").await
 }
 
-async fn hold(fleet: &Fleet, faults: ServiceFaults) {
+async fn set_server_faults(fleet: &Fleet, faults: ServiceFaults) {
     for server in &fleet.upstreams {
         fleet.set_faults(server, &faults).await;
     }
 }
 
-/// Waits until some server has begun a call (its sidecar runs one).
+/// Waits until a sidecar reports a call in progress; returns its index.
 async fn wait_running(fleet: &Fleet) -> usize {
     eventually("a server runs the call", || async {
         for (at, sidecar) in fleet.sidecars.iter().enumerate() {
@@ -66,8 +67,8 @@
     .await
 }
 
-/// Repeats the call behind an entry until it is answered.
-async fn answered_in_the_end(fleet: &Fleet, entry: usize, what: &str) {
+/// Retries the call through an entry until it succeeds.
+async fn retry_until_ok(fleet: &Fleet, entry: usize, what: &str) {
     eventually(what, || async {
         (call(&fleet.caller(entry, "anna")).await.status == 200).then_some(())
     })
@@ -76,8 +77,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeated_key_gets_the_recorded_answer_behind_any_entry() {
-    // The caller did not see its answer and asks again behind another entry. Two
-    // entries share nothing but the claim, so only the claim can hold the second.
+    // The caller lost the response and retries through another entry. The entries
+    // share only the claim, so only the claim can prevent a second run.
     let fleet = fleet().await;
     let first = call(&fleet.caller(0, "anna")).await;
     let again = call(&fleet.caller(1, "anna")).await;
@@ -88,10 +89,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn of_many_that_repeat_a_key_at_once_one_runs() {
-    // Forty callers send one key at the same moment behind two entries. Each
-    // entry finds no claim at first; the conditional create lets one win.
+    // Forty callers send the same key concurrently through two entries. Neither
+    // entry finds a claim at first; the conditional create admits one caller.
     let fleet = fleet().await;
-    hold(&fleet, ServiceFaults { hold_ms: 50, ..ServiceFaults::default() }).await;
+    set_server_faults(&fleet, ServiceFaults { hold_ms: 50, ..ServiceFaults::default() })
+        .await;
     let calls = (0..40).map(|at| {
         let caller = fleet.caller(at % 2, "anna");
         tokio::spawn(async move { call(&caller).await })
@@ -107,8 +109,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_is_its_customers_own_and_bound_to_its_request() {
-    // Two customers choose the same key, and one uses its key for another body.
-    // The first must not see each other's answers, the second is told (422).
+    // Two customers choose the same key, and one reuses its key with another body.
+    // Customers must not see each other's responses; reuse is rejected with 422.
     let fleet = fleet().await;
     let anna = fleet.caller(0, "anna");
     assert_eq!(call(&anna).await.status, 200);
@@ -120,11 +122,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_killed_in_mid_call_leaves_its_key_closed() {
-    // The caller loses its connection while the call runs and repeats the key
-    // behind the other entry. The claim still says running; after its deadline
-    // it says that nobody knows. It is never taken over.
+    // The caller loses its connection during the call and retries the key through
+    // the other entry. The claim is still in the running state, and its outcome is
+    // unknown after its deadline. Another entry never takes the claim over.
     let mut fleet = fleet().await;
-    hold(&fleet, ServiceFaults { hold_ms: 300, ..ServiceFaults::default() }).await;
+    set_server_faults(&fleet, ServiceFaults { hold_ms: 300, ..ServiceFaults::default() })
+        .await;
     let caller = fleet.caller(0, "anna");
     let lost = tokio::spawn(async move { call_within(&caller, 1_500).await });
     wait_running(&fleet).await;
@@ -142,10 +145,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_sidecar_killed_in_mid_call_says_may_have_run() {
-    // The sidecar dies while its server works on the call. The entry can't tell
-    // whether it ran, says so, and closes the key with that.
+    // The sidecar is killed while its server processes the call. The entry cannot
+    // know whether the call ran; it reports that and records it for the key.
     let mut fleet = fleet().await;
-    hold(&fleet, ServiceFaults { hold_ms: 300, ..ServiceFaults::default() }).await;
+    set_server_faults(&fleet, ServiceFaults { hold_ms: 300, ..ServiceFaults::default() })
+        .await;
     let caller = fleet.caller(0, "anna");
     let lost = tokio::spawn(async move { call(&caller).await });
     let at = wait_running(&fleet).await;
@@ -159,9 +163,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_whose_answer_was_lost_is_known_again() {
-    // The platform writes the claim but its answer is lost, once for the claim
-    // and once for the outcome. The writer reads back and knows its own token;
-    // otherwise it would refuse its own caller, or leave the outcome unknown.
+    // The platform performs the write but its response is lost, once for the claim
+    // and once for the outcome. The entry reads the claim back and recognizes its
+    // own token; otherwise it would reject its own caller or leave the outcome
+    // unknown.
     let fleet = fleet().await;
     let lose = |lose_answers| PlatformFaults {
         lose_answers,
@@ -176,8 +181,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn without_the_platform_a_call_is_refused_and_the_key_stays_free() {
-    // The platform is down when the call comes: it is refused as not run, which
-    // is true. Once the platform is back the same key runs.
+    // The platform is down when the call arrives, so the call is correctly rejected
+    // as not run. The same key runs once the platform is available again.
     let fleet = fleet().await;
     let down = PlatformFaults { down: true, ..PlatformFaults::default() };
     fleet.set_faults(&fleet.platform, &down).await;
@@ -186,17 +191,18 @@
     assert!(refused.header("retry-after").is_some());
     assert_eq!(fleet.runs_of(KEY).await, 0);
     fleet.set_faults(&fleet.platform, &PlatformFaults::default()).await;
-    answered_in_the_end(&fleet, 0, "the key runs").await;
+    retry_until_ok(&fleet, 0, "the key runs").await;
     assert_eq!(fleet.runs_of(KEY).await, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_platform_lost_in_mid_call_gets_the_outcome_later() {
-    // The platform goes down between the claim and the outcome. The caller gets
-    // its answer all the same; the outcome is recorded once the platform is
-    // back, and until then a repeated key is told that the call runs.
+    // The platform fails between the claim and the outcome. The caller still gets
+    // its response; the outcome is recorded once the platform is available again.
+    // Until then a retry of the key is told that the call is running.
     let fleet = fleet().await;
-    hold(&fleet, ServiceFaults { hold_ms: 200, ..ServiceFaults::default() }).await;
+    set_server_faults(&fleet, ServiceFaults { hold_ms: 200, ..ServiceFaults::default() })
+        .await;
     let caller = fleet.caller(0, "anna");
     let running = tokio::spawn(async move { call(&caller).await });
     wait_running(&fleet).await;
@@ -204,15 +210,15 @@
     fleet.set_faults(&fleet.platform, &down).await;
     assert_eq!(running.await.expect("the call ends").status, 200);
     fleet.set_faults(&fleet.platform, &PlatformFaults::default()).await;
-    answered_in_the_end(&fleet, 1, "the outcome is recorded").await;
+    retry_until_ok(&fleet, 1, "the outcome is recorded").await;
     assert_eq!(fleet.runs_of(KEY).await, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_sidecar_frozen_past_the_deadline_does_not_run_the_call() {
-    // Both sidecars are frozen when the call is handed over. Its caller is told
-    // at its deadline that it may have run. When they thaw, they find the call
-    // in their sockets; the stored deadline keeps them from running it then.
+    // Both sidecars are suspended when the call is dispatched. At the deadline the
+    // caller is told that the call may have run. After resuming, the sidecars read
+    // the dispatch from their sockets; its deadline prevents them from running it.
     let fleet = fleet().await;
     for sidecar in &fleet.sidecars {
         sidecar.freeze();
@@ -236,11 +242,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_frozen_in_mid_call_does_not_run_it_again() {
-    // The entry freezes after it handed the call over and thaws long after its
-    // caller asked elsewhere. Its claim was not taken over meanwhile, so nothing
-    // ran twice, and its late outcome is what a repeated key gets.
+    // The entry is suspended after the dispatch and resumes after the caller has
+    // retried through another entry. The claim was not taken over, so the call
+    // ran once, and a later retry of the key gets the late outcome.
     let fleet = fleet().await;
-    hold(&fleet, ServiceFaults { hold_ms: 200, ..ServiceFaults::default() }).await;
+    set_server_faults(&fleet, ServiceFaults { hold_ms: 200, ..ServiceFaults::default() })
+        .await;
     let caller = fleet.caller(0, "anna");
     let frozen = tokio::spawn(async move { call(&caller).await });
     wait_running(&fleet).await;
@@ -259,21 +266,26 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_breaks_off_after_the_run_closes_the_key() {
-    // The server runs the call and its answer is cut. Nobody in between can know
-    // that it ran, so the caller is told that it may have, and so is a repeat.
+    // The server runs the call and closes the connection before responding. No
+    // intermediary can know that it ran, so the caller is told that it may have
+    // run, and so is a retry.
     let fleet = fleet().await;
-    hold(&fleet, ServiceFaults { cut_after_run: true, ..ServiceFaults::default() }).await;
+    set_server_faults(
+        &fleet,
+        ServiceFaults { cut_after_run: true, ..ServiceFaults::default() },
+    )
+    .await;
     let lost = call(&fleet.caller(0, "anna")).await;
     assert_eq!((lost.status, run_state(&lost).as_str()), (502, "may_have_run"));
-    hold(&fleet, ServiceFaults::default()).await;
+    set_server_faults(&fleet, ServiceFaults::default()).await;
     assert_eq!(code(&call(&fleet.caller(1, "anna")).await), "outcome_unknown");
     assert_eq!(fleet.runs_of(KEY).await, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_that_was_refused_before_it_ran_frees_its_key() {
-    // Both servers are gone: a connection that never opened proves that nothing
-    // ran. The key must then be free, or the caller could never send its proof.
+    // Both servers are down: a connection that was never established proves that
+    // nothing ran. The key must be released, or the caller could never retry.
     let mut fleet = fleet().await;
     for server in &mut fleet.upstreams {
         server.kill();
@@ -286,10 +298,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn without_a_key_a_call_is_dispatched_once() {
-    // The caller sends no key, and the server breaks off after the run. Trying
-    // another server would run the call twice, so nobody tries.
+    // The call has no key, and the server closes the connection after the run. A
+    // retry on another server would run the call twice, so there is none.
     let fleet = fleet().await;
-    hold(&fleet, ServiceFaults { cut_after_run: true, ..ServiceFaults::default() }).await;
+    set_server_faults(
+        &fleet,
+        ServiceFaults { cut_after_run: true, ..ServiceFaults::default() },
+    )
+    .await;
     let caller = fleet.caller(0, "anna");
     let lost = caller.send("POST", "/services/s/run", &[], "x").await.expect("an answer");
     assert_eq!((lost.status, run_state(&lost).as_str()), (502, "may_have_run"));
@@ -298,9 +314,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_dispatch_that_comes_twice_runs_once() {
-    // A network element repeats the frame that hands a call over, on the same
-    // connection and on another. Both bear one attempt's token, by which the
-    // sidecar knows them; otherwise the call would run once for each.
+    // The network duplicates the dispatch frame on the same connection and on
+    // others. The sidecar deduplicates the copies by their attempt token; otherwise
+    // the call would run once for each copy.
     let fleet = fleet().await;
     let peer = fleet.sidecars[0].address("peers");
     let dispatch = Dispatch {
@@ -326,7 +342,7 @@
         (fleet.runs_of(KEY).await >= 1).then_some(())
     })
     .await;
-    // Two later calls give the repeats the time to run, were they to.
+    // Two later calls leave time for the duplicates to run, if they would.
     assert_eq!(call(&fleet.caller(0, "ben")).await.status, 200);
     assert_eq!(call(&fleet.caller(1, "ben")).await.status, 200);
     assert_eq!(fleet.runs_of(KEY).await, 2);
--- a/tests/tests/bad_input.rs
+++ b/tests/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! Bad input gets a typed answer or a clean cancel down to the engine.
+//! Invalid input gets a typed error, and abandoned requests are cancelled down to
+//! the engine.
 
 use bilberry_standins::EngineTraits;
 use bilberry_tests::Caller;
@@ -13,11 +14,11 @@
 use tokio::net::TcpSocket;
 use tokio::net::TcpStream;
 
-/// The path of most tests.
+/// Default request path.
 const PATH: &str = "/v1/chat/completions";
 
-/// Renders an answer without what differs from run to run.
-fn shown(reply: &Reply) -> String {
+/// Renders an error response without the values that vary between runs.
+fn render(reply: &Reply) -> String {
     let mut error = reply.json()["error"].clone();
     if !error["retry_after_ms"].is_null() {
         error["retry_after_ms"] = json!("some");
@@ -27,7 +28,7 @@
 }
 
 async fn post(caller: &Caller, path: &str, body: impl Into<Vec<u8>>) -> String {
-    shown(&caller.send("POST", path, &[], body.into()).await.expect("an answer"))
+    render(&caller.send("POST", path, &[], body.into()).await.expect("an answer"))
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -53,7 +54,7 @@
         bilberry_tests::send("POST", &format!("http://{}{PATH}", caller.entry), &[], "")
             .await
             .expect("an answer");
-    assert_snapshot!(shown(&nobody), @r#"401 {"code":"missing_api_key","message":"no API key; send `Authorization: Bearer KEY`","param":null,"run_state":"not_run","type":"authentication_error"}"#);
+    assert_snapshot!(render(&nobody), @r#"401 {"code":"missing_api_key","message":"no API key; send `Authorization: Bearer KEY`","param":null,"run_state":"not_run","type":"authentication_error"}"#);
     assert_snapshot!(post(&caller, PATH, with("model", json!("other"))).await, @r#"404 {"code":"model_not_found","message":"model `other` is not yours to use; GET /v1/models lists those","param":null,"run_state":"not_run","type":"invalid_request_error"}"#);
     assert_snapshot!(post(&caller, PATH, without("model")).await, @r#"400 {"code":"missing_field","message":"`model` is missing; add it to the body","param":null,"run_state":"not_run","type":"invalid_request_error"}"#);
     assert_snapshot!(post(&caller, PATH, without("messages")).await, @r#"400 {"code":"invalid_messages","message":"`messages` must be a list of objects with `role` and `content`","param":null,"run_state":"not_run","type":"invalid_request_error"}"#);
@@ -69,11 +70,11 @@
 
     let deadline = [("x-deadline-ms", "soon")];
     let reply = caller.send("POST", PATH, &deadline, good.to_string()).await;
-    assert_snapshot!(shown(&reply.expect("an answer")), @r#"400 {"code":"invalid_deadline","message":"`x-deadline-ms` must be a whole number in 1 to 3600000","param":null,"run_state":"not_run","type":"invalid_request_error"}"#);
+    assert_snapshot!(render(&reply.expect("an answer")), @r#"400 {"code":"invalid_deadline","message":"`x-deadline-ms` must be a whole number in 1 to 3600000","param":null,"run_state":"not_run","type":"invalid_request_error"}"#);
     let long = "k".repeat(300);
     let reply =
         caller.send("POST", "/services/s/x", &[("idempotency-key", &long)], "").await;
-    assert_snapshot!(shown(&reply.expect("an answer")), @r#"400 {"code":"invalid_key","message":"`Idempotency-Key` must have 1 to 256 visible characters","param":null,"run_state":"not_run","type":"invalid_request_error"}"#);
+    assert_snapshot!(render(&reply.expect("an answer")), @r#"400 {"code":"invalid_key","message":"`Idempotency-Key` must have 1 to 256 visible characters","param":null,"run_state":"not_run","type":"invalid_request_error"}"#);
     assert_eq!(fleet.engine_runs().await, 0);
 }
 
@@ -122,8 +123,8 @@
         "#);
 }
 
-/// Sends raw bytes and returns what comes back until the connection closes.
-async fn raw(fleet: &Fleet, bytes: &[u8]) -> String {
+/// Sends raw bytes, reads until the connection closes and returns the first line.
+async fn send_raw(fleet: &Fleet, bytes: &[u8]) -> String {
     let mut socket = TcpStream::connect(fleet.entries[0].address("callers"))
         .await
         .expect("a connection");
@@ -135,14 +136,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_head_that_is_too_large_or_too_slow_is_cut() {
-    // The caller sends a head of 20 kB, or half of one and then nothing. Without
-    // bounds each such connection would hold memory and a place for ever.
+    // The caller sends a 20 kB head, or an incomplete one. Without limits each such
+    // connection would hold memory and a connection slot forever.
     let limits = "header_bytes = 8192\nheader_ms = 200".to_string();
     let fleet = Fleet::start(Plan { limits, ..Plan::default() }).await;
     let bomb = format!("GET /v1/models HTTP/1.1\r\nx: {}\r\n\r\n", "y".repeat(20_000));
-    assert_snapshot!(raw(&fleet, bomb.as_bytes()).await, @"HTTP/1.1 431 Request Header Fields Too Large");
-    assert_snapshot!(raw(&fleet, b"GET /v1/models HTTP/1.1\r\nx: ").await, @"");
-    assert_snapshot!(raw(&fleet, b"nonsense\r\n\r\n").await, @"HTTP/1.1 400 Bad Request");
+    assert_snapshot!(send_raw(&fleet, bomb.as_bytes()).await, @"HTTP/1.1 431 Request Header Fields Too Large");
+    assert_snapshot!(send_raw(&fleet, b"GET /v1/models HTTP/1.1\r\nx: ").await, @"");
+    assert_snapshot!(send_raw(&fleet, b"nonsense\r\n\r\n").await, @"HTTP/1.1 400 Bad Request");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -152,13 +153,13 @@
             .await;
     let head = "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\
                 authorization: Bearer key-anna\r\nconnection: close\r\n\r\n{";
-    assert_snapshot!(raw(&fleet, head.as_bytes()).await, @"HTTP/1.1 408 Request Timeout");
+    assert_snapshot!(send_raw(&fleet, head.as_bytes()).await, @"HTTP/1.1 408 Request Timeout");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_goes_away_cancels_its_run() {
-    // The caller closes its connection in mid-stream. The entry drops the run,
-    // the sidecar the call, and the engine stops generating for nobody.
+    // The caller closes its connection in mid-stream. The entry and the sidecar
+    // cancel the request, and the engine stops generating.
     let traits = EngineTraits { token_us: 20_000, ..EngineTraits::default() };
     let fleet = Fleet::start(Plan { engines: vec![traits], ..Plan::default() }).await;
     let mut stream = fleet.caller(0, "anna").start("a long answer", 1_000).await;
@@ -178,9 +179,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_stops_reading_is_cut() {
-    // The caller asks for a long answer and reads nothing. Once the buffers on
-    // the way are full the entry waits for it, but only so long: its place at the
-    // engine is then given back.
+    // The caller requests a long answer and reads nothing. Once all buffers are full,
+    // the entry waits for the caller up to a timeout and then releases the slot at
+    // the engine.
     let traits = EngineTraits {
         token_us: 1,
         prefill_us_per_token: 0.0,
@@ -202,8 +203,8 @@
     socket.set_recv_buffer_size(4_096).expect("a small buffer");
     let mut socket = socket.connect(address).await.expect("a connection");
     socket.write_all(request.as_bytes()).await.expect("the request is sent");
-    // A fast engine may have generated all before the entry gives up, so it is the
-    // entry that is asked; it holds a place for as long as it waits.
+    // A fast engine can finish generating before the entry times out, so this checks
+    // the entry, which holds a slot for as long as it waits.
     let given_up = "bilberry_answers_total{code=\"caller_gone\"}";
     eventually("the entry gives the caller up", || async {
         let count = fleet.metric(&fleet.entries[0], given_up).await?;
--- a/tests/tests/cached_state.rs
+++ b/tests/tests/cached_state.rs
@@ -1,4 +1,4 @@
-//! A request never relies on cached prompt state that is not its own.
+//! Requests never use prompt cache blocks of other customers or older weights.
 
 use bilberry_standins::EngineFaults;
 use bilberry_standins::EngineTraits;
@@ -8,12 +8,12 @@
 use bilberry_tests::get;
 use bilberry_tests::send;
 
-/// A prefix of about 1,500 tokens.
+/// Returns a prompt prefix of about 1,500 tokens.
 fn style() -> String {
     "Our house style notes are long. ".repeat(190)
 }
 
-/// Orders an engine to load weights behind the system's back.
+/// Orders an engine to load weights directly, bypassing its sidecar.
 async fn load(fleet: &Fleet, engine: usize, weights: &str, fencing: u64) {
     let address = fleet.upstreams[engine].address("address");
     let body = format!("{{\"weights\":\"{weights}\",\"fencing\":{fencing}}}");
@@ -21,15 +21,16 @@
     send("POST", &url, &[], body).await.expect("the engine answers");
 }
 
-/// Returns the blocks that an engine holds in fact.
+/// Returns the number of blocks in the cache of an engine.
 async fn held(fleet: &Fleet, engine: usize) -> usize {
     let address = fleet.upstreams[engine].address("address");
     let reply = get(format!("http://{address}/v1/cache/blocks")).await.expect("told");
     reply.json()["blocks"].as_array().map_or(0, Vec::len)
 }
 
-/// Waits until a sidecar's index counts just the blocks that its engine holds.
-async fn wait_in_step(fleet: &Fleet, at: usize) -> usize {
+/// Waits until the index of a sidecar has as many blocks as the cache of its
+/// engine.
+async fn wait_index_synced(fleet: &Fleet, at: usize) -> usize {
     eventually("the index is in step with the engine", || async {
         let known = fleet.metric(&fleet.sidecars[at], "bilberry_cached_blocks").await?;
         let held = held(fleet, at).await;
@@ -40,9 +41,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn two_customers_with_one_text_share_nothing() {
-    // Two customers send the same long text. The second must not be served from
-    // the first's blocks: the time to its first token would tell it what the
-    // first one sent. The engine marks blocks by user and counts violations.
+    // Two customers send the same long prompt. The second must not hit blocks of the
+    // first, because the time to first token would reveal what the first one sent.
+    // The engine tags blocks by user and counts violations.
     let fleet = Fleet::start(Plan::default()).await;
     for _ in 0..2 {
         assert!(fleet.caller(0, "anna").complete(&style(), 2).await.done);
@@ -57,9 +58,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_cannot_choose_a_salt_or_a_priority() {
-    // Ben sends the salt that Anna's blocks lie under, and fields that would let
-    // him overtake. The entry takes such fields out; the engine would otherwise
-    // serve him from her blocks.
+    // Ben sends the cache salt of Anna's blocks and fields that raise his priority.
+    // The entry removes such fields; otherwise the engine would serve him from her
+    // blocks.
     let fleet = Fleet::start(Plan::default()).await;
     let scope = bilberry_core::Scope {
         customer: "anna".into(),
@@ -81,9 +82,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_of_weights_in_mid_traffic_uses_no_older_blocks() {
-    // The engine changes its weights under load and keeps its cache. Requests
-    // whose salt was made for the older weights are started anew before anything
-    // is sent, so no answer is computed on older blocks.
+    // The engine loads new weights under traffic and keeps its cache. Requests with
+    // a salt for the older weights are restarted before any output is sent, so no
+    // answer is computed from older blocks.
     let traits = EngineTraits { load_ms: 5, ..EngineTraits::default() };
     let fleet = Fleet::start(Plan { engines: vec![traits; 2], ..Plan::default() }).await;
     let callers: Vec<_> = (0..8)
@@ -116,25 +117,25 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_blocks_of_a_crashed_engine_count_for_nothing() {
-    // The engine crashes and comes back empty between two requests. Its sidecar
-    // sees another incarnation and forgets the old blocks; otherwise requests
-    // would be drawn to an engine that recomputes everything.
+    // The engine crashes and restarts with an empty cache between two requests. Its
+    // sidecar detects the new incarnation and clears its index; otherwise requests
+    // would be routed to an engine that recomputes the whole prompt.
     let fleet = Fleet::start(Plan::default()).await;
     assert!(fleet.caller(0, "anna").complete(&style(), 2).await.done);
-    assert!(wait_in_step(&fleet, 0).await > 0);
+    assert!(wait_index_synced(&fleet, 0).await > 0);
     let address = fleet.upstreams[0].address("address");
     let url = format!("http://{address}/standin/crash");
     send("POST", &url, &[], "").await.expect("the engine crashes");
-    assert_eq!(wait_in_step(&fleet, 0).await, 0);
+    assert_eq!(wait_index_synced(&fleet, 0).await, 0);
     assert!(fleet.caller(0, "anna").complete(&style(), 2).await.done);
     assert_eq!(fleet.engine(0).await.cached_tokens, 0);
-    assert!(wait_in_step(&fleet, 0).await > 0);
+    assert!(wait_index_synced(&fleet, 0).await > 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_crash_in_mid_stream_is_survived_without_old_blocks() {
-    // The engine crashes between probe and answer: the stream breaks off and is
-    // taken up by the other engine, which holds nothing of this prompt.
+    // The engine crashes between probe and answer. The stream is interrupted and
+    // resumed by the other engine, which has no cached blocks of this prompt.
     let traits = EngineTraits { token_us: 10_000, ..EngineTraits::default() };
     let fleet = Fleet::start(Plan { engines: vec![traits; 2], ..Plan::default() }).await;
     let mut stream = fleet.caller(0, "anna").start(&style(), 30).await;
@@ -153,9 +154,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_cache_events_are_noticed_and_made_up_for() {
-    // Every seventh event is lost. A gap in the numbers marks the index unsure
-    // and the sidecar fetches it anew. With lost evictions it would promise blocks
-    // that are gone, for as long as the engine lives.
+    // Every seventh event is lost. A gap in the sequence numbers marks the index as
+    // uncertain, and the sidecar fetches it again. Otherwise lost evictions would
+    // leave evicted blocks in the index for the lifetime of the engine.
     let traits = EngineTraits { cache_blocks: 40, ..EngineTraits::default() };
     let fleet = Fleet::start(Plan { engines: vec![traits], ..Plan::default() }).await;
     let faults = EngineFaults { lose_every: 7, ..EngineFaults::default() };
@@ -165,10 +166,10 @@
         let prompt = format!("{round} {}", style());
         assert!(caller.complete(&prompt, 2).await.done);
     }
-    // The last events may be lost with nothing after them to show the gap.
+    // The last events can be lost without a later event that reveals the gap.
     fleet.set_faults(&fleet.upstreams[0], &EngineFaults::default()).await;
     assert!(caller.complete(&format!("last {}", style()), 2).await.done);
-    assert_eq!(wait_in_step(&fleet, 0).await, 40);
+    assert_eq!(wait_index_synced(&fleet, 0).await, 40);
     let gaps = fleet.metric(&fleet.sidecars[0], "bilberry_cache_event_gaps").await;
     assert!(gaps > Some(0.0), "{gaps:?}");
 }
--- a/tests/tests/configuration.rs
+++ b/tests/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force everywhere within seconds and stays.
+//! Accepted configurations reach every process within seconds and persist.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use serde_json::Value;
 use tokio::time::Instant;
 
-/// Within which an accepted change must be in force everywhere.
+/// Maximum time until an accepted change is in force in every process.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(4);
 
-/// Returns the planned piece with a mark that makes it new.
+/// Returns the fleet configuration with a comment that makes it unique.
 fn piece(fleet: &Fleet, mark: &str) -> String {
     format!("{}\n# {mark}\n", fleet.plan.piece())
 }
@@ -35,9 +35,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn of_operators_that_race_one_wins_and_the_others_are_told() {
-    // Ten operators apply at once behind two entries. The head moves by
-    // conditional update, so each revision has one author; the others are told
-    // the winner's revision and apply again.
+    // Ten operators apply concurrently through two entries. The head is moved by a
+    // conditional update, so each revision has one author; the others receive the
+    // winner's revision and retry.
     let fleet = Fleet::start(Plan { entries: 2, ..Plan::default() }).await;
     let applies = (0..10).map(|at| async move { (at, at % 2) });
     let mut running = Vec::new();
@@ -79,9 +79,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_whose_answer_was_lost_is_applied_once() {
-    // The platform moves the head, and its answer is lost. The entry reads back,
-    // finds its own token and says "accepted"; taken for a conflict, the operator
-    // would apply the same change again.
+    // The platform moves the head, but its response is lost. The entry reads the head
+    // back, finds its own token and reports success. If it reported a conflict, the
+    // operator would apply the same change again.
     let fleet = Fleet::start(Plan::default()).await;
     let faults = PlatformFaults {
         lose_answers: 1,
@@ -95,8 +95,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_accepted_just_before_an_outage_reaches_everyone() {
-    // The platform goes down right after it accepted the change. One entry has
-    // it; the others get it from their peers, not from the platform.
+    // The platform fails right after it accepted the change. One entry has the
+    // change; the other processes fetch it from their peers.
     let fleet = Fleet::start(Plan { entries: 3, ..Plan::engines(3) }).await;
     let down = PlatformFaults { down: true, ..PlatformFaults::default() };
     let accepted = apply(&fleet, 0, "before the outage").await;
@@ -107,9 +107,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_frozen_during_a_change_catches_up_and_never_goes_back() {
-    // An entry freezes, two changes are accepted, the platform goes down, and the
-    // entry thaws with old watches and old answers in its sockets. It must come
-    // to the last change, and never show a lower revision than it had.
+    // An entry is suspended, two changes are accepted, and the platform fails. The
+    // entry resumes with stale watches and responses in its sockets. It must reach
+    // the last change and never report a lower revision than before.
     let fleet = Fleet::start(Plan { entries: 2, ..Plan::engines(2) }).await;
     fleet.entries[1].freeze();
     assert_eq!(apply(&fleet, 0, "one").await, Ok(2));
@@ -129,8 +129,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restart_during_an_outage_starts_from_peers() {
-    // The platform is down and an entry is replaced. It knows nothing; its peers
-    // give it the revision in force, and callers are served at once.
+    // An entry is replaced while the platform is down. It starts without state,
+    // fetches the current revision from its peers and serves callers immediately.
     let mut fleet = Fleet::start(Plan { entries: 2, ..Plan::engines(2) }).await;
     assert_eq!(apply(&fleet, 0, "two").await, Ok(2));
     assert_in_force(&fleet, 2, Instant::now()).await;
--- a/tests/tests/leaving.rs
+++ b/tests/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! A leaving upstream gets no new work, and a planned stop cuts nothing.
+//! Draining upstreams get no new requests, and graceful shutdown interrupts none.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 use bilberry_tests::eventually;
 use tokio::time::Instant;
 
-/// Within which a leaving upstream must get no new work any more.
+/// Maximum time until a leaving upstream receives no new requests.
 const NO_WORK_AFTER: Duration = Duration::from_secs(3);
 
-/// Starts two entries before three engines that take 5 ms a token.
+/// Starts two entries and three engines that generate a token every 5 ms.
 async fn fleet(plan: Plan) -> Fleet {
     let traits = EngineTraits { token_us: 5_000, ..EngineTraits::default() };
     Fleet::start(Plan { entries: 2, engines: vec![traits; 3], ..plan }).await
 }
 
-/// Sends one request behind each entry; each must be answered whole.
+/// Sends one request through each entry and asserts that each answer is complete.
 async fn ask_once(fleet: &Fleet, what: &str) {
     for entry in 0..2 {
         let prompt = format!("{what} {entry}");
@@ -28,7 +28,8 @@
     }
 }
 
-/// Sends requests until a sidecar says that it is leaving; returns since when.
+/// Sends requests until a sidecar reports that it is leaving, and asserts that
+/// this took less than [`NO_WORK_AFTER`] since `since`.
 async fn ask_until_leaving(fleet: &Fleet, at: usize, since: Instant) {
     let name = format!("sidecar-e{at}");
     eventually("the sidecar leaves", || async {
@@ -41,7 +42,7 @@
     assert!(since.elapsed() < NO_WORK_AFTER, "took {:?}", since.elapsed());
 }
 
-/// Sends requests and checks that an engine sees none of them.
+/// Sends requests and asserts that an engine receives none of them.
 async fn assert_no_new_work(fleet: &Fleet, at: usize) {
     let before = fleet.engine(at).await.runs;
     for round in 0..20 {
@@ -50,7 +51,8 @@
     assert_eq!(fleet.engine(at).await.runs, before);
 }
 
-/// Starts streams behind so many entries in turn and reads the first token of each.
+/// Starts `count` streams, rotating over the first `entries` entries, and reads the
+/// first token of each.
 async fn start_streams(
     fleet: &Fleet,
     count: usize,
@@ -76,8 +78,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drained_upstream_gets_no_new_work_and_ends_what_it_has() {
-    // An operator drains the engine that is in the middle of an answer. The
-    // answer is finished there; whatever comes from now on goes elsewhere.
+    // An operator drains an engine that is generating an answer. The engine finishes
+    // that answer, and new requests are routed elsewhere.
     let fleet = fleet(Plan::default()).await;
     let mut stream = fleet.caller(0, "anna").start("a long answer", 100).await;
     stream.read_tokens(3).await;
@@ -96,8 +98,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_host_that_leaves_by_a_lagging_list_gets_no_new_work() {
-    // The platform's list says that a host is leaving, half a second late. The
-    // sidecar on it learns that by itself and refuses, whatever entries believe.
+    // The platform's list reports a leaving host with a delay of half a second. The
+    // sidecar on it reads the list itself and rejects requests, even if entries are
+    // not up to date.
     let fleet = fleet(Plan::default()).await;
     let since = Instant::now();
     fleet.set_hosts(&[("host-e1", "leaving")], 500).await;
@@ -107,9 +110,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drain_holds_while_links_are_cut() {
-    // The links to the drained sidecar break right after the drain, so entries
-    // hear nothing more of it. When the links are back, the sidecar itself
-    // refuses; nobody's stale picture can bring it new work.
+    // The links to the drained sidecar fail right after the drain, so entries have
+    // stale state. Once the links are restored, the sidecar itself rejects requests
+    // from entries with stale state.
     let mut fleet = fleet(Plan { proxied_sidecars: true, ..Plan::default() }).await;
     ask_once(&fleet, "before").await;
     let reply = fleet.admin(0, "POST", "/v1/upstreams/e2/drain", "").await;
@@ -124,8 +127,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_of_an_entry_cuts_no_request() {
-    // The entry is told to stop in mid-stream. It finishes what it has, takes
-    // nothing new, and ends with success.
+    // The entry receives `SIGTERM` in mid-stream. It finishes its requests, accepts no
+    // new ones, and exits successfully.
     let mut fleet = fleet(Plan::default()).await;
     let streams = start_streams(&fleet, 10, 1).await;
     fleet.entries[0].terminate();
@@ -137,8 +140,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_of_a_sidecar_cuts_no_request() {
-    // The sidecar is told to stop while it carries streams. Those end where they
-    // are, not by resuming elsewhere: no engine run is cancelled.
+    // The sidecar receives `SIGTERM` while it serves streams. They finish on the same
+    // upstream instead of resuming elsewhere: no engine run is cancelled.
     let mut fleet = fleet(Plan::default()).await;
     let streams = start_streams(&fleet, 12, 2).await;
     for at in 0..2 {
@@ -154,8 +157,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stop_is_bounded_by_the_settings() {
-    // A stream would go on for minutes, but the settings allow the stop 300 ms.
-    // The entry then cuts it and says so by its exit code.
+    // A stream would run for minutes, but the settings limit shutdown to 300 ms. The
+    // entry then interrupts the stream and reports that by its exit code.
     let limits = "stop_ms = 300".to_string();
     let mut fleet = fleet(Plan { limits, ..Plan::default() }).await;
     let mut stream = fleet.caller(0, "anna").start("a very long answer", 30_000).await;
--- a/tests/tests/not_run.rs
+++ b/tests/tests/not_run.rs
@@ -1,4 +1,4 @@
-//! A refusal that says "not run" is true, wherever the link is cut.
+//! Rejections that report `not_run` are correct, wherever the link is cut.
 
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::Ordering;
@@ -10,7 +10,7 @@
 use bilberry_tests::Reply;
 use bilberry_tests::eventually;
 
-/// Where the link towards the sidecar is cut, in bytes from its start.
+/// Number of bytes after which the link to the sidecar is cut.
 const CUTS: [u64; 10] = [1, 40, 80, 120, 160, 200, 240, 280, 400, 100_000];
 
 fn run_state(reply: &Reply) -> String {
@@ -20,7 +20,7 @@
     }
 }
 
-/// Checks what the caller was told against the server's own count.
+/// Checks the reported run state against the run counter of the server.
 async fn check(fleet: &Fleet, key: &str, reply: &Reply, when: &str) {
     let runs = fleet.runs_of(key).await;
     match run_state(reply).as_str() {
@@ -32,9 +32,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cut_at_any_step_of_the_dispatch_is_told_truly() {
-    // The link is refused, or breaks after so many bytes went to the sidecar or
-    // came back: in the hello, the probe, the dispatch, the answer. The caller is
-    // told "not run" only where the server did not run the call.
+    // The link refuses connections, or closes after a number of bytes in either
+    // direction: during the hello, probe, dispatch or answer. The caller may be told
+    // `not_run` only if the server did not run the call.
     let plan = Plan { proxied_sidecars: true, ..Plan::services(1) };
     let mut fleet = Fleet::start(plan).await;
     let caller = fleet.caller(0, "anna");
@@ -52,13 +52,13 @@
             told.push(call_until_connected(&fleet, &what).await);
         }
     }
-    // The cuts must have struck before, within and after the dispatch.
+    // The cuts must cover the phases before, during and after the dispatch.
     for state in ["not_run", "may_have_run", "ran"] {
         assert!(told.iter().any(|word| word == state), "no cut led to {state}: {told:?}");
     }
 }
 
-/// Sends calls until the entry has tried to connect anew; checks each of them.
+/// Sends calls until the entry has attempted to reconnect, and checks each reply.
 async fn call_until_connected(fleet: &Fleet, what: &str) -> String {
     let tries = AtomicU32::new(0);
     eventually("the entry connects anew", || async {
@@ -73,8 +73,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_dead_server_and_a_dead_sidecar_are_told_truly() {
-    // First the server is gone, then its sidecar as well. A connection that is
-    // refused proves that nothing was sent.
+    // First the server is killed, then its sidecar as well. A refused connection
+    // proves that nothing was sent.
     let mut fleet = Fleet::start(Plan::services(1)).await;
     let caller = fleet.caller(0, "anna");
     fleet.upstreams[0].kill();
@@ -87,8 +87,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_full_queue_refuses_what_did_not_run() {
-    // One place and one waiting place are taken; a third call is refused at once
-    // with the time to come back, and the server never sees it.
+    // The only slot and the only queue place are taken; further calls are rejected
+    // immediately with `Retry-After`, and the server never receives them.
     let plan = Plan { services: 1, ..Plan::services(1) };
     let piece = |plan: &Plan| {
         let text = plan.piece();
@@ -124,9 +124,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_completion_refused_for_its_deadline_did_not_run() {
-    // The engine's one place is taken for long, and a request with a short
-    // deadline comes. It gives up in the queue at its deadline, not later, and
-    // the engine never sees it.
+    // The only slot of the engine is taken by a long request. A request with a short
+    // deadline leaves the queue at its deadline, not later, and never reaches the
+    // engine.
     let traits =
         EngineTraits { token_us: 100_000, max_running: 1, ..EngineTraits::default() };
     let fleet = Fleet::start(Plan { engines: vec![traits], ..Plan::default() }).await;
--- a/tests/tests/operators.rs
+++ b/tests/tests/operators.rs
@@ -1,4 +1,4 @@
-//! What operators see and change.
+//! Operator interface: command-line tool, administration API, health and metrics.
 
 use std::process::Command;
 
@@ -118,7 +118,7 @@
     let operations = entry.address("operations");
     let live = get(format!("http://{operations}/livez"));
     assert_eq!(live.await.expect("an answer").status, 200);
-    // An engine that is gone makes its sidecar unready, once calls have failed.
+    // A sidecar becomes unready after calls to its killed engine have failed.
     fleet.upstreams[0].kill();
     for _ in 0..3 {
         fleet.caller(0, "anna").complete("?", 2).await;
--- a/tests/tests/orders.rs
+++ b/tests/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: leases, fencing numbers, and bounded loads.
+//! Orders to engines: leases, fencing tokens and bounded concurrent loads.
 
 use bilberry_standins::EngineTraits;
 use bilberry_standins::expected_answer;
@@ -8,7 +8,7 @@
 use bilberry_tests::eventually;
 use bilberry_tests::get;
 
-/// Returns the piece of a fleet with other weights.
+/// Returns the fleet configuration with `weights` for the model.
 fn piece(fleet: &Fleet, weights: &str) -> String {
     Plan { weights: weights.to_string(), ..fleet.plan.clone() }.piece()
 }
@@ -17,7 +17,7 @@
     fleet.apply(0, &[("10-tests.toml", &piece(fleet, weights))]).await
 }
 
-/// Waits until all engines run some weights.
+/// Waits until all engines run `weights`.
 async fn wait_weights(fleet: &Fleet, weights: &str) {
     eventually("all engines run the weights", || async {
         for engine in &fleet.upstreams {
@@ -49,7 +49,7 @@
     (store, fleet)
 }
 
-async fn most_loads(store: &Running) -> u64 {
+async fn max_concurrent_loads(store: &Running) -> u64 {
     let address = store.address("address");
     let reply = get(format!("http://{address}/standin/counters")).await.expect("told");
     reply.json()["most_running"].as_u64().unwrap_or(0)
@@ -57,9 +57,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn loads_stay_within_the_bound_while_operators_race() {
-    // Two operators change the weights one right after the other, and six engines
-    // have to follow. Each sidecar takes one of two slots by conditional update,
-    // so the weight store never sees more than two loads at once.
+    // Two operators change the weights in quick succession, and six engines must
+    // follow. Each sidecar claims one of two slots by conditional update, so the
+    // weight store never serves more than two loads at once.
     let (store, fleet) = fleet_with_store(6, 2).await;
     let (first, second) = tokio::join!(apply(&fleet, "w2"), apply(&fleet, "w3"));
     assert!(first.is_ok() || second.is_ok());
@@ -68,13 +68,13 @@
         Err(refused) => panic!("{refused}"),
     };
     wait_weights(&fleet, last).await;
-    assert!(most_loads(&store).await <= 2);
+    assert!(max_concurrent_loads(&store).await <= 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_rollout_under_traffic_cuts_no_answer() {
-    // The weights change while callers ask. Each answer comes whole and from the
-    // weights that began it: all of the older ones or all of the newer ones.
+    // The weights change under traffic. Each answer must be complete and computed
+    // entirely from the old weights or entirely from the new ones.
     let (_store, fleet) = fleet_with_store(3, 1).await;
     let callers: Vec<_> = (0..6)
         .map(|at| {
@@ -100,9 +100,9 @@
     }
 }
 
-/// Freezes the only sidecar while it waits to load `w2`, lets a second sidecar
-/// of the same upstream load `w3`, and thaws the first.
-async fn outrun_a_frozen_holder(checks_fencing: bool) -> Fleet {
+/// Suspends the only sidecar while it waits to load `w2`, loads `w3` through a
+/// second sidecar of the same upstream, and resumes the first.
+async fn fleet_after_lease_takeover(checks_fencing: bool) -> Fleet {
     let traits = EngineTraits {
         checks_fencing,
         load_ms: 50,
@@ -115,7 +115,7 @@
         ..Plan::default()
     })
     .await;
-    // A running answer holds the load up between the lease and the order.
+    // A running request delays the load between the lease and the order.
     let mut stream = fleet.caller(0, "anna").start("a long answer", 30).await;
     stream.read_tokens(1).await;
     assert_eq!(apply(&fleet, "w2").await, Ok(2));
@@ -139,11 +139,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_holder_frozen_past_its_lease_cannot_bring_old_weights_back() {
-    // The holder freezes between its lease and its order. Another one takes the
-    // lease and loads newer weights. When the first thaws, its lease is over: it
-    // must renew before it orders, and finds that somebody else holds it.
+    // The lease holder is suspended between its lease and its order, and a second
+    // sidecar takes the lease and loads newer weights. The first resumes with an
+    // expired lease: it must renew before its order, and finds another holder.
     for checks_fencing in [true, false] {
-        let fleet = outrun_a_frozen_holder(checks_fencing).await;
+        let fleet = fleet_after_lease_takeover(checks_fencing).await;
         wait_weights(&fleet, "w3").await;
         let counters = fleet.engine(0).await;
         assert_eq!(counters.stale_orders, 0, "fencing {checks_fencing}: {counters:?}");
--- a/tests/tests/own_answers.rs
+++ b/tests/tests/own_answers.rs
@@ -1,4 +1,4 @@
-//! Each caller gets the whole answer to its own request.
+//! Each caller receives the complete answer to its own request.
 
 use std::sync::Arc;
 
@@ -23,14 +23,14 @@
 use bilberry_wire::Role;
 use tokio::net::TcpListener;
 
-/// How many callers ask at once.
+/// Number of concurrent callers.
 const CALLERS: usize = 300;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn hundreds_at_once_get_their_own_answers_over_links_that_break() {
-    // Three hundred callers share a handful of connections, which are cut and
-    // healed under them. Attempts are repeated, late answers cross with new ones;
-    // each caller still gets exactly the answer to its own prompt.
+    // Three hundred callers share a few connections that are cut and restored under
+    // load. Attempts are retried and late frames interleave with newer ones; each
+    // caller must still receive the answer to its own prompt.
     let traits =
         EngineTraits { token_us: 5_000, max_running: 200, ..EngineTraits::default() };
     let mut fleet = Fleet::start(Plan {
@@ -75,16 +75,16 @@
     assert!(whole >= CALLERS * 9 / 10, "only {whole} answers were whole");
 }
 
-/// How a fake sidecar misbehaves.
+/// Faults of a fake sidecar.
 #[derive(Debug, Clone, Copy)]
-enum Confusing {
-    /// It sends frames twice, late and crossed.
-    Doubles,
-    /// It leaves a frame out and says that the stream is whole.
-    LeavesOut,
+enum SidecarFault {
+    /// Sends duplicate and stale frames, and frames of another attempt.
+    Duplicates,
+    /// Omits a frame and reports the stream as complete.
+    Omits,
 }
 
-impl PeerHandler for Confusing {
+impl PeerHandler for SidecarFault {
     async fn handle(&self, body: Body, reply: Reply) {
         match body {
             Body::Probe(_) => {
@@ -97,7 +97,7 @@
     }
 }
 
-impl Confusing {
+impl SidecarFault {
     async fn answer(self, dispatch: &Dispatch, reply: &Reply) {
         let chunk = |attempt: u32, number: u64, text: &str| {
             let (text, weights) = (text.to_string(), "w1".to_string());
@@ -107,11 +107,11 @@
         for (number, text) in [" one", " two", " three"].into_iter().enumerate() {
             let number = number as u64;
             match self {
-                Self::LeavesOut if number == 2 => {}
-                Self::LeavesOut => {
+                Self::Omits if number == 2 => {}
+                Self::Omits => {
                     reply.send(chunk(attempt, number, text)).await;
                 }
-                Self::Doubles => {
+                Self::Duplicates => {
                     reply.send(chunk(attempt + 9, number, " another attempt's")).await;
                     reply.send(chunk(attempt, number, text)).await;
                     reply.send(chunk(attempt, number, text)).await;
@@ -125,8 +125,8 @@
     }
 }
 
-/// Starts a fleet whose only sidecar is a fake one, and asks one question.
-async fn ask_fake_sidecar(confusing: Confusing) -> Answer {
+/// Requests a completion from a fleet whose only sidecar is a fake one.
+async fn ask_fake_sidecar(fault: SidecarFault) -> Answer {
     let fleet = Fleet::start(Plan { engines: Vec::new(), ..Plan::default() }).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let member = Member {
@@ -137,7 +137,7 @@
         ..Member::default()
     };
     let node = Node::new(member, false);
-    tokio::spawn(serve_peers(node.clone(), listener, Arc::new(confusing)));
+    tokio::spawn(serve_peers(node.clone(), listener, Arc::new(fault)));
     let platform = HttpPlatform::new(fleet.platform.address("address"), 500, 500);
     register(node, platform).await;
     let piece = Plan::engines(1).piece();
@@ -151,19 +151,19 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn doubled_and_crossed_frames_reach_nobody() {
-    // A sidecar sends each frame twice, an old one again, and frames that bear
-    // another attempt's number. The caller sees each token once and in order.
-    let answer = ask_fake_sidecar(Confusing::Doubles).await;
+    // A sidecar duplicates each frame, repeats an old one and sends frames of another
+    // attempt. The caller must receive each token once and in order.
+    let answer = ask_fake_sidecar(SidecarFault::Duplicates).await;
     assert_eq!(answer.text, " one two three");
     assert!(answer.done);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_end_without_all_its_frames_is_no_end() {
-    // The last frame of each attempt is lost, and the end comes all the same. By
-    // its count of frames the entry knows; taken for an end, the caller would
-    // hold a shortened answer for the whole one.
-    let answer = ask_fake_sidecar(Confusing::LeavesOut).await;
+    // The last frame of each attempt is lost, but its end frame arrives. The entry
+    // detects the loss by the frame count; otherwise the caller would take a
+    // truncated answer for a complete one.
+    let answer = ask_fake_sidecar(SidecarFault::Omits).await;
     assert!(!answer.done, "{answer:?}");
     assert_eq!(answer.error_field("code"), "stream_interrupted");
 }
--- a/tests/tests/platform_returns.rs
+++ b/tests/tests/platform_returns.rs
@@ -1,4 +1,4 @@
-//! The platform comes back from an older copy of its objects.
+//! The platform is restored from an older snapshot of its objects.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use tokio::time::Instant;
 
-/// Within which an accepted change must be in force everywhere.
+/// Maximum time until an accepted change is in force in every process.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(4);
 
 async fn apply(fleet: &Fleet, mark: &str) -> u64 {
@@ -24,8 +24,9 @@
     assert!(since.elapsed() < IN_FORCE_WITHIN, "took {:?}", since.elapsed());
 }
 
-/// Starts a fleet whose platform has lost the last configuration; returns its revision.
-async fn after_a_lost_configuration() -> (Fleet, u64) {
+/// Starts a fleet whose platform has lost the latest configuration; returns the
+/// revision of the lost configuration.
+async fn fleet_with_lost_configuration() -> (Fleet, u64) {
     let fleet = Fleet::start(Plan { entries: 3, ..Plan::services(2) }).await;
     apply(&fleet, "kept").await;
     fleet.copy_platform().await;
@@ -35,7 +36,7 @@
     (fleet, lost)
 }
 
-/// Reads an object of the platform.
+/// Returns the value of a platform object, if it exists.
 async fn stored(fleet: &Fleet, key: &str) -> Option<String> {
     let url = format!("http://{}/v1/objects/{key}", fleet.platform.address("address"));
     let reply =
@@ -46,10 +47,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_after_the_return_is_in_force_everywhere() {
-    // The operator is told that the change is in force, and nobody has it. The platform
-    // lost a configuration that every process has. The next one was given the lost
-    // one's revision again, and processes take only a higher one.
-    let (fleet, lost) = after_a_lost_configuration().await;
+    // The platform lost a configuration that every process has applied. The next change
+    // was assigned the same revision as the lost one. Processes accept only higher
+    // revisions, so the operator was told that it was in force while none applied it.
+    let (fleet, lost) = fleet_with_lost_configuration().await;
     let revision = apply(&fleet, "new").await;
     assert!(revision > lost, "{revision} after {lost}");
     assert_in_force(&fleet, revision).await;
@@ -57,9 +58,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn going_back_to_what_the_copy_has_is_a_change() {
-    // The operator takes the lost change back, and is told that nothing changes. The
-    // platform has the earlier configuration, but every process runs the lost one.
-    let (fleet, lost) = after_a_lost_configuration().await;
+    // The operator reverts the lost change. The platform already has the earlier
+    // configuration, so the apply was reported as no change, although every process
+    // still runs the lost one.
+    let (fleet, lost) = fleet_with_lost_configuration().await;
     let revision = apply(&fleet, "kept").await;
     assert!(revision > lost, "{revision} after {lost}");
     assert_in_force(&fleet, revision).await;
@@ -67,10 +69,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_piece_is_stored_when_it_is_applied_again() {
-    // Processes that start have no configuration. The operator applies the lost one
-    // again; its piece is in force, so it was taken for stored, and the head names a
-    // piece that nobody can read.
-    let (fleet, _) = after_a_lost_configuration().await;
+    // The operator applies the lost configuration again. Its piece is in force, so it
+    // was assumed to be stored, and the head referenced a missing piece. Processes
+    // that start then have no configuration.
+    let (fleet, _) = fleet_with_lost_configuration().await;
     apply(&fleet, "lost").await;
     let head = stored(&fleet, "config/head").await.expect("a head is stored");
     let head: Value = serde_json::from_str(&head).expect("the head can be read");
--- a/tests/tests/platform_standin.rs
+++ b/tests/tests/platform_standin.rs
@@ -1,4 +1,4 @@
-//! The stand-in keeps what the platform's object API promises.
+//! The platform stand-in conforms to the contract of the object API.
 
 use bilberry_platform::HttpPlatform;
 use bilberry_platform::Platform;
--- a/tests/tests/policy.rs
+++ b/tests/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The routing under faults: black holes, slow and silent engines, refusals.
+//! Routing under faults: failing, slow and hung engines, and rejected requests.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,17 +9,17 @@
 use bilberry_tests::Fleet;
 use bilberry_tests::Plan;
 
-/// A prompt of about 800 tokens that nobody sent before.
+/// Returns a unique prompt of about 800 tokens.
 fn unique(at: usize) -> String {
     format!("unique {at} ").repeat(300)
 }
 
-/// Returns the calls to upstreams that an entry made.
+/// Returns the number of upstream calls by an entry.
 async fn calls(fleet: &Fleet) -> f64 {
     fleet.metric(&fleet.entries[0], "bilberry_upstream_calls_total").await.unwrap_or(0.0)
 }
 
-/// Returns the prompt tokens that engines had cached.
+/// Returns the number of cached prompt tokens on all engines.
 async fn cached_tokens(fleet: &Fleet) -> u64 {
     let mut tokens = 0;
     for at in 0..fleet.plan.engines.len() {
@@ -30,9 +30,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_fails_at_once_swallows_no_traffic() {
-    // One of three engines answers every call with an error, at once, and so
-    // looks idle. Its sidecar's breaker opens after three failures and says so in
-    // its probes. Every caller is served; few calls are wasted.
+    // One of three engines fails every call immediately and so appears idle. The
+    // circuit breaker of its sidecar opens after three failures, which probe answers
+    // report. Every caller is served, and few calls are wasted.
     let fleet = Fleet::start(Plan::engines(3)).await;
     let faults = EngineFaults { fail_fast: true, ..EngineFaults::default() };
     fleet.set_faults(&fleet.upstreams[0], &faults).await;
@@ -47,8 +47,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_engine_gets_less_work() {
-    // One of three engines is thirty times slower, but alive. Its sidecar learns
-    // the slope of time over tokens, and the scores lead requests elsewhere.
+    // One of three engines is healthy but thirty times slower. Its sidecar estimates
+    // the time per token, and the scores route requests to other engines.
     let fleet = Fleet::start(Plan::engines(3)).await;
     let faults = EngineFaults { slowness: 30.0, ..EngineFaults::default() };
     fleet.set_faults(&fleet.upstreams[0], &faults).await;
@@ -62,9 +62,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_silent_engine_is_given_up() {
-    // The engine hangs in mid-stream with its connections open. After four
-    // seconds of silence its sidecar gives up, the stream goes on elsewhere, and
-    // missing reports keep new requests away from it.
+    // The engine hangs in mid-stream with its connections open. Its sidecar times out
+    // after four seconds without data, the stream resumes elsewhere, and missing
+    // reports exclude the engine from new requests.
     let traits = EngineTraits { token_us: 10_000, ..EngineTraits::default() };
     let fleet = Fleet::start(Plan { engines: vec![traits; 2], ..Plan::default() }).await;
     let caller = fleet.caller(0, "anna");
@@ -87,9 +87,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_callers_are_spread_over_time_and_retries_stay_few() {
-    // Two engines with one place and one waiting place each, and forty callers
-    // at once. Those refused are told different times to come back, and few are
-    // tried at the other engine as well: the budget is a tenth of the traffic.
+    // Forty callers send requests at once to two engines with one slot and one queue
+    // place each. Rejected callers get different retry delays. Few requests are
+    // retried on the other engine: the retry budget is a tenth of the traffic.
     let traits =
         EngineTraits { token_us: 50_000, max_running: 1, ..EngineTraits::default() };
     let fleet = Fleet::start(Plan {
@@ -126,9 +126,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_can_wait_is_not_refused() {
-    // Twelve requests come at once to an engine with two places. Each takes a
-    // while, and each may take a minute: all of them wait their turn. Here a
-    // deadline compared the wrong way round once refused whoever had to wait.
+    // Twelve requests with a deadline of one minute arrive at once at an engine with
+    // two slots; all of them must be queued. Guards against an inverted deadline
+    // comparison that rejected every request that had to wait.
     let traits = EngineTraits { max_running: 2, ..EngineTraits::default() };
     let fleet = Fleet::start(Plan { engines: vec![traits], ..Plan::default() }).await;
     let running: Vec<_> = (0..12)
@@ -145,10 +145,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slightly_faster_engine_takes_no_prompt_that_others_do_not_find_there() {
-    // Six idle engines, one of them faster. Some prompts come to an entry while
-    // that one is asked by chance, with none of their ranks leading to it. It
-    // computes them soonest, but the next entry asks others, and each of these
-    // callers pays for its whole prompt a second time.
+    // Six engines are idle, one of them faster. An entry can probe the faster one at
+    // random although no rank of the prompt selects it. That engine would finish
+    // first, but the next entry probes others, so the whole prompt would be computed
+    // a second time.
     let mut engines = vec![EngineTraits::default(); 6];
     engines[0].prefill_us_per_token = 25.0;
     let fleet = Fleet::start(Plan { entries: 3, engines, ..Plan::default() }).await;
@@ -171,10 +171,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_stood_still_reads_the_answers_that_came_meanwhile() {
-    // An entry asks who holds a prompt, and its host gives it no time for some tens
-    // of milliseconds. The answers lie in its sockets when it goes on, as does the
-    // end of its wait for them. It takes all that it asked for silent, and its
-    // caller pays for the whole prompt again.
+    // An entry sends probes and is then not scheduled for tens of milliseconds. When
+    // it resumes, the answers are in its sockets but the probe timeout has expired
+    // too. If it treated all probed sidecars as silent, the whole prompt would be
+    // computed again.
     let fleet = Fleet::start(Plan { proxied_sidecars: true, ..Plan::engines(6) }).await;
     let caller = fleet.caller(0, "anna");
     let prompts = 24;
--- a/tests/tests/restarts.rs
+++ b/tests/tests/restarts.rs
@@ -1,15 +1,15 @@
-//! Restarts with no cold start, and outages that callers don't notice.
+//! Cache hit ratio across entry restarts and platform outages.
 
 use bilberry_standins::PlatformFaults;
 use bilberry_tests::Fleet;
 use bilberry_tests::Plan;
 use tokio::time::Instant;
 
-/// How many prefixes are in use.
+/// Number of distinct prompt prefixes.
 const PREFIXES: usize = 12;
 
-/// Asks one question on each prefix behind all entries in turn; returns the
-/// share of prompt tokens that engines had cached.
+/// Sends one prompt per prefix, rotating over all entries; returns the fraction
+/// of prompt tokens that were cached.
 async fn hit_ratio(fleet: &Fleet, round: &str) -> f64 {
     let before = totals(fleet).await;
     for at in 0..PREFIXES {
@@ -23,7 +23,8 @@
     (after.0 - before.0) as f64 / (after.1 - before.1) as f64
 }
 
-/// Shows who was asked for each prompt and what each answered.
+/// Prints the routing decisions if the hit ratio is low: which upstreams were
+/// probed for each prompt and what they answered.
 async fn show_decisions_if(is_low: bool, fleet: &Fleet) {
     for decision in fleet.decisions().await.iter().filter(|_| is_low) {
         println!("{decision}");
@@ -42,9 +43,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_herd_of_restarted_entries_finds_prefixes_where_they_are() {
-    // All entries are killed at once while the platform is down, and start anew.
-    // They know nothing. Their peers give them the configuration and the members;
-    // the same ranking and the sidecars' answers lead to the cached prefixes.
+    // All entries are killed and restarted at once while the platform is down, so
+    // they start without state. They fetch configuration and membership from their
+    // peers; deterministic ranking and probe answers lead to the cached prefixes.
     let mut fleet = Fleet::start(Plan { entries: 3, ..Plan::engines(6) }).await;
     hit_ratio(&fleet, "first").await;
     let before = hit_ratio(&fleet, "second").await;
@@ -71,8 +72,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_outage_of_the_platform_leaves_idempotent_traffic_untouched() {
-    // The platform answers nothing for a while: first with errors, then not at
-    // all. No completion needs it, so nothing changes for callers.
+    // The platform first returns errors and then does not respond at all.
+    // Completions do not depend on it, so the hit ratio must not drop.
     let fleet = Fleet::start(Plan { entries: 2, ..Plan::engines(4) }).await;
     hit_ratio(&fleet, "first").await;
     let before = hit_ratio(&fleet, "second").await;
--- a/tests/tests/streams.rs
+++ b/tests/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Every stream reaches its caller whole and in order, or ends in an error event.
+//! Streams are delivered completely and in order, or end with an error event.
 
 use bilberry_standins::EngineFaults;
 use bilberry_standins::EngineTraits;
@@ -8,21 +8,22 @@
 use bilberry_tests::Plan;
 use bilberry_tests::eventually;
 
-/// The prompt of most tests.
+/// Default prompt.
 const PROMPT: &str = "Draw a mark for a tea house.";
 
-/// The tokens of most answers.
+/// Default number of tokens to generate.
 const TOKENS: u32 = 60;
 
-/// Starts engines that take 10 ms a token, behind proxied links.
+/// Starts engines that generate a token every 10 ms, with fault proxies in front
+/// of their sidecars.
 async fn fleet(engines: usize) -> Fleet {
     let traits = EngineTraits { token_us: 10_000, ..EngineTraits::default() };
     let engines = vec![traits; engines];
     Fleet::start(Plan { engines, proxied_sidecars: true, ..Plan::default() }).await
 }
 
-/// Returns which upstream runs a request now.
-async fn running_at(fleet: &Fleet) -> usize {
+/// Returns the index of the engine that is running a request.
+async fn running_engine(fleet: &Fleet) -> usize {
     for at in 0..fleet.plan.engines.len() {
         if fleet.engine(at).await.running > 0 {
             return at;
@@ -37,7 +38,7 @@
     assert_eq!(answer.error, None);
 }
 
-/// A stream that could not be carried on: a true beginning and an error.
+/// Asserts that a stream delivered a correct prefix and ended with an error event.
 fn assert_interrupted(answer: &Answer) {
     let whole = expected_answer(PROMPT, "w1", TOKENS);
     assert!(whole.starts_with(&answer.text), "not a beginning: {}", answer.text);
@@ -48,38 +49,37 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_engine_is_replaced_in_mid_stream() {
-    // The engine dies after some tokens. Its connection closes as if it were
-    // done, but without the end mark; another engine goes on after the text that
-    // the caller has.
+    // The engine is killed in mid-stream. Its connection closes normally but
+    // without `[DONE]`; another engine must resume after the delivered text.
     let mut fleet = fleet(2).await;
     let mut stream = fleet.caller(0, "anna").start(PROMPT, TOKENS).await;
     stream.read_tokens(5).await;
-    let at = running_at(&fleet).await;
+    let at = running_engine(&fleet).await;
     fleet.upstreams[at].kill();
     assert_whole(&stream.finish().await);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_sidecar_is_replaced_in_mid_stream() {
-    // The sidecar dies and with it the link. What it had sent is delivered, the
-    // rest comes from another upstream.
+    // The sidecar is killed, which closes its link. The tokens already sent are
+    // delivered; another upstream generates the rest.
     let mut fleet = fleet(2).await;
     let mut stream = fleet.caller(0, "anna").start(PROMPT, TOKENS).await;
     stream.read_tokens(5).await;
-    let at = running_at(&fleet).await;
+    let at = running_engine(&fleet).await;
     fleet.sidecars[at].kill();
     assert_whole(&stream.finish().await);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_sidecar_is_replaced_and_its_late_frames_dropped() {
-    // The sidecar freezes with an open connection: no reset, only silence. The
-    // link is given up after two seconds and the stream goes on elsewhere. When
-    // the sidecar thaws, its late frames belong to a dead attempt.
+    // The sidecar is suspended with its connection open, so no reset is sent. The
+    // link times out after two seconds and another upstream resumes the stream.
+    // Frames sent after the sidecar resumes belong to an abandoned attempt.
     let fleet = fleet(2).await;
     let mut stream = fleet.caller(0, "anna").start(PROMPT, TOKENS).await;
     stream.read_tokens(5).await;
-    let at = running_at(&fleet).await;
+    let at = running_engine(&fleet).await;
     fleet.sidecars[at].freeze();
     stream.read_tokens(40).await;
     fleet.sidecars[at].thaw();
@@ -88,12 +88,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cut_link_is_survived_twice() {
-    // The link breaks, the stream moves to the other upstream, and that link
-    // breaks as well. By then the first one is healed, so the stream moves back.
+    // The link fails, the stream moves to the other upstream, and that link fails
+    // too. The first link is restored by then, so the stream moves back.
     let mut fleet = fleet(2).await;
     let mut stream = fleet.caller(0, "anna").start(PROMPT, TOKENS).await;
     stream.read_tokens(5).await;
-    let first = running_at(&fleet).await;
+    let first = running_engine(&fleet).await;
     fleet.links[first].cut().await;
     stream.read_tokens(20).await;
     fleet.links[first].heal().await;
@@ -103,19 +103,19 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_half_open_link_is_noticed() {
-    // The link swallows everything from now on and never resets. Without the
-    // pings the caller would wait until TCP gives up, many minutes later.
+    // The link drops all data without a reset. Without pings the caller would wait
+    // for the TCP timeout, which takes many minutes.
     let fleet = fleet(2).await;
     let mut stream = fleet.caller(0, "anna").start(PROMPT, TOKENS).await;
     stream.read_tokens(5).await;
-    let at = running_at(&fleet).await;
+    let at = running_engine(&fleet).await;
     fleet.links[at].swallow().await;
     assert_whole(&stream.finish().await);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_link_delays_but_never_reorders() {
-    // Every frame comes 200 ms late in mid-stream; nothing is lost or doubled.
+    // Each frame is delayed by 200 ms in mid-stream; none is lost or duplicated.
     let fleet = fleet(1).await;
     let mut stream = fleet.caller(0, "anna").start(PROMPT, TOKENS).await;
     stream.read_tokens(5).await;
@@ -125,8 +125,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_link_cut_at_any_byte_leaves_no_gap() {
-    // Each link carries only so many bytes back, so frames are cut in the middle
-    // at many places. The stream goes on elsewhere from what was delivered.
+    // Each link closes after a number of response bytes, which truncates frames at
+    // various offsets. The stream resumes elsewhere after the delivered text.
     let mut fleet = fleet(2).await;
     for bytes in [300, 333, 500, 901, 1_500] {
         for link in &mut fleet.links {
@@ -143,12 +143,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn engine_and_link_lost_together_are_survived() {
-    // The engine that runs the request dies and, in the same moment, the link to
-    // the second engine breaks. The third one carries the stream on.
+    // The engine that runs the request is killed while the link to the second one
+    // fails. The third engine resumes the stream.
     let mut fleet = fleet(3).await;
     let mut stream = fleet.caller(0, "anna").start(PROMPT, TOKENS).await;
     stream.read_tokens(5).await;
-    let at = running_at(&fleet).await;
+    let at = running_engine(&fleet).await;
     fleet.upstreams[at].kill();
     fleet.links[(at + 1) % 3].cut().await;
     assert_whole(&stream.finish().await);
@@ -156,8 +156,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_nobody_can_carry_on_ends_in_an_error_event() {
-    // The only engine dies for good. The caller gets what there is and one error
-    // event, no end mark: it can't take the beginning for the whole.
+    // The only engine is killed. The caller receives the text so far and an error
+    // event without `[DONE]`, so it cannot mistake a prefix for the full answer.
     let mut fleet = fleet(1).await;
     let mut stream = fleet.caller(0, "anna").start(PROMPT, TOKENS).await;
     stream.read_tokens(5).await;
@@ -167,9 +167,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn engines_that_keep_breaking_off_are_not_tried_for_ever() {
-    // Every engine breaks off after five tokens. Each attempt goes on from there,
-    // but a request that kills its engines must not kill them all: after four
-    // attempts the caller gets an error event.
+    // Every engine closes its connection after five tokens, and each attempt
+    // resumes from there. A request that crashes its engines must not crash all of
+    // them: after four attempts the caller gets an error event.
     let fleet = fleet(2).await;
     let faults = EngineFaults { cut_after: 5, ..EngineFaults::default() };
     for engine in &fleet.upstreams {
@@ -177,15 +177,15 @@
     }
     let answer = fleet.caller(0, "anna").complete(PROMPT, TOKENS).await;
     assert_interrupted(&answer);
-    // An engine's last tokens may be lost with its connection.
+    // The last tokens of an engine can be lost when its connection closes.
     assert!(answer.text.split_whitespace().count() <= 20);
     assert_eq!(fleet.engine_runs().await, 4);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_that_ends_early_is_no_whole_answer() {
-    // One engine ends its answers after five tokens, and the HTTP body is whole:
-    // only the end mark is missing. The other engine carries the stream on.
+    // One engine ends its answers after five tokens with a complete HTTP body that
+    // lacks only `[DONE]`. The other engine resumes the stream.
     let fleet = fleet(2).await;
     let faults = EngineFaults { end_after: 5, ..EngineFaults::default() };
     fleet.set_faults(&fleet.upstreams[0], &faults).await;
@@ -198,8 +198,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_dies_breaks_the_connection() {
-    // The entry dies with the caller's connection. The caller must see a broken
-    // connection, never a body that ends as if it were whole.
+    // The entry is killed, which closes the caller's connection. The caller must
+    // see a connection error, never a body that appears complete.
     let mut fleet = fleet(1).await;
     let mut stream = fleet.caller(0, "anna").start(PROMPT, TOKENS).await;
     stream.read_tokens(5).await;
--- a/tests/tests/whole_path.rs
+++ b/tests/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! One request from end to end through separate processes.
+//! End-to-end requests through separate processes.
 
 use bilberry_standins::expected_answer;
 use bilberry_tests::Fleet;
