--- a/tests/tests/bad_input.rs
+++ b/tests/tests/bad_input.rs
@@ -36,20 +36,21 @@
     let limits = "body_bytes = 2000".to_string();
     let fleet = Fleet::start(Plan { limits, ..Plan::default() }).await;
     let caller = fleet.caller(0, "anna");
-    let good = json!({ "model": "m", "messages": [{ "role": "user", "content": "?" }] });
+    let valid_body =
+        json!({ "model": "m", "messages": [{ "role": "user", "content": "?" }] });
     let without = |field: &str| {
-        let mut body = good.clone();
+        let mut body = valid_body.clone();
         body.as_object_mut().expect("an object").remove(field);
         body.to_string()
     };
     let with = |field: &str, value: serde_json::Value| {
-        let mut body = good.clone();
+        let mut body = valid_body.clone();
         body[field] = value;
         body.to_string()
     };
 
     let stranger = Caller::new(caller.entry, "key-nobody");
-    assert_snapshot!(post(&stranger, PATH, good.to_string()).await, @r#"401 {"code":"invalid_api_key","message":"the API key is unknown; ask the operators for one","param":null,"run_state":"not_run","type":"authentication_error"}"#);
+    assert_snapshot!(post(&stranger, PATH, valid_body.to_string()).await, @r#"401 {"code":"invalid_api_key","message":"the API key is unknown; ask the operators for one","param":null,"run_state":"not_run","type":"authentication_error"}"#);
     let nobody =
         bilberry_tests::send("POST", &format!("http://{}{PATH}", caller.entry), &[], "")
             .await
@@ -69,7 +70,7 @@
     assert_snapshot!(post(&caller, "/services/other/x", "{}").await, @r#"404 {"code":"service_not_found","message":"service `other` is not yours to use","param":null,"run_state":"not_run","type":"invalid_request_error"}"#);
 
     let deadline = [("x-deadline-ms", "soon")];
-    let reply = caller.send("POST", PATH, &deadline, good.to_string()).await;
+    let reply = caller.send("POST", PATH, &deadline, valid_body.to_string()).await;
     assert_snapshot!(render(&reply.expect("an answer")), @r#"400 {"code":"invalid_deadline","message":"`x-deadline-ms` must be a whole number in 1 to 3600000","param":null,"run_state":"not_run","type":"invalid_request_error"}"#);
     let long = "k".repeat(300);
     let reply =
@@ -140,8 +141,9 @@
     // connection would hold memory and a connection slot forever.
     let limits = "header_bytes = 8192\nheader_ms = 200".to_string();
     let fleet = Fleet::start(Plan { limits, ..Plan::default() }).await;
-    let bomb = format!("GET /v1/models HTTP/1.1\r\nx: {}\r\n\r\n", "y".repeat(20_000));
-    assert_snapshot!(send_raw(&fleet, bomb.as_bytes()).await, @"HTTP/1.1 431 Request Header Fields Too Large");
+    let oversized_head =
+        format!("GET /v1/models HTTP/1.1\r\nx: {}\r\n\r\n", "y".repeat(20_000));
+    assert_snapshot!(send_raw(&fleet, oversized_head.as_bytes()).await, @"HTTP/1.1 431 Request Header Fields Too Large");
     assert_snapshot!(send_raw(&fleet, b"GET /v1/models HTTP/1.1\r\nx: ").await, @"");
     assert_snapshot!(send_raw(&fleet, b"nonsense\r\n\r\n").await, @"HTTP/1.1 400 Bad Request");
 }
--- a/tests/tests/cached_state.rs
+++ b/tests/tests/cached_state.rs
@@ -9,7 +9,7 @@
 use bilberry_tests::send;
 
 /// Returns a prompt prefix of about 1,500 tokens.
-fn style() -> String {
+fn long_prefix() -> String {
     "Our house style notes are long. ".repeat(190)
 }
 
@@ -22,7 +22,7 @@
 }
 
 /// Returns the number of blocks in the cache of an engine.
-async fn held(fleet: &Fleet, engine: usize) -> usize {
+async fn cached_blocks(fleet: &Fleet, engine: usize) -> usize {
     let address = fleet.upstreams[engine].address("address");
     let reply = get(format!("http://{address}/v1/cache/blocks")).await.expect("told");
     reply.json()["blocks"].as_array().map_or(0, Vec::len)
@@ -33,7 +33,7 @@
 async fn wait_index_synced(fleet: &Fleet, at: usize) -> usize {
     eventually("the index is in step with the engine", || async {
         let known = fleet.metric(&fleet.sidecars[at], "bilberry_cached_blocks").await?;
-        let held = held(fleet, at).await;
+        let held = cached_blocks(fleet, at).await;
         (held as f64 == known).then_some(held)
     })
     .await
@@ -46,11 +46,11 @@
     // The engine tags blocks by user and counts violations.
     let fleet = Fleet::start(Plan::default()).await;
     for _ in 0..2 {
-        assert!(fleet.caller(0, "anna").complete(&style(), 2).await.done);
+        assert!(fleet.caller(0, "anna").complete(&long_prefix(), 2).await.done);
     }
     let before = fleet.engine(0).await;
     assert!(before.cached_tokens > 0);
-    assert!(fleet.caller(0, "ben").complete(&style(), 2).await.done);
+    assert!(fleet.caller(0, "ben").complete(&long_prefix(), 2).await.done);
     let after = fleet.engine(0).await;
     assert_eq!(after.cached_tokens, before.cached_tokens);
     assert_eq!(after.violations, 0);
@@ -68,9 +68,9 @@
         adapter: "".into(),
         weights: "w1".into(),
     };
-    assert!(fleet.caller(0, "anna").complete(&style(), 2).await.done);
+    assert!(fleet.caller(0, "anna").complete(&long_prefix(), 2).await.done);
     let body = serde_json::json!({
-        "model": "m", "prompt": style(), "max_tokens": 2, "user": "key-ben",
+        "model": "m", "prompt": long_prefix(), "max_tokens": 2, "user": "key-ben",
         "cache_salt": scope.salt(), "priority": 9, "resume_text": " x",
     });
     let caller = fleet.caller(0, "ben");
@@ -92,7 +92,7 @@
             let caller = fleet.caller(0, "anna");
             tokio::spawn(async move {
                 for round in 0..25 {
-                    let prompt = format!("{} {at} {round}", style());
+                    let prompt = format!("{} {at} {round}", long_prefix());
                     assert!(caller.complete(&prompt, 2).await.done);
                 }
             })
@@ -121,13 +121,13 @@
     // sidecar detects the new incarnation and clears its index; otherwise requests
     // would be routed to an engine that recomputes the whole prompt.
     let fleet = Fleet::start(Plan::default()).await;
-    assert!(fleet.caller(0, "anna").complete(&style(), 2).await.done);
+    assert!(fleet.caller(0, "anna").complete(&long_prefix(), 2).await.done);
     assert!(wait_index_synced(&fleet, 0).await > 0);
     let address = fleet.upstreams[0].address("address");
     let url = format!("http://{address}/standin/crash");
     send("POST", &url, &[], "").await.expect("the engine crashes");
     assert_eq!(wait_index_synced(&fleet, 0).await, 0);
-    assert!(fleet.caller(0, "anna").complete(&style(), 2).await.done);
+    assert!(fleet.caller(0, "anna").complete(&long_prefix(), 2).await.done);
     assert_eq!(fleet.engine(0).await.cached_tokens, 0);
     assert!(wait_index_synced(&fleet, 0).await > 0);
 }
@@ -138,7 +138,7 @@
     // resumed by the other engine, which has no cached blocks of this prompt.
     let traits = EngineTraits { token_us: 10_000, ..EngineTraits::default() };
     let fleet = Fleet::start(Plan { engines: vec![traits; 2], ..Plan::default() }).await;
-    let mut stream = fleet.caller(0, "anna").start(&style(), 30).await;
+    let mut stream = fleet.caller(0, "anna").start(&long_prefix(), 30).await;
     stream.read_tokens(3).await;
     for engine in 0..2 {
         if fleet.engine(engine).await.running > 0 {
@@ -149,7 +149,7 @@
     }
     let answer = stream.finish().await;
     assert!(answer.done);
-    assert_eq!(answer.text, bilberry_standins::expected_answer(&style(), "w1", 30));
+    assert_eq!(answer.text, bilberry_standins::expected_answer(&long_prefix(), "w1", 30));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -163,12 +163,12 @@
     fleet.set_faults(&fleet.upstreams[0], &faults).await;
     let caller = fleet.caller(0, "anna");
     for round in 0..6 {
-        let prompt = format!("{round} {}", style());
+        let prompt = format!("{round} {}", long_prefix());
         assert!(caller.complete(&prompt, 2).await.done);
     }
     // The last events can be lost without a later event that reveals the gap.
     fleet.set_faults(&fleet.upstreams[0], &EngineFaults::default()).await;
-    assert!(caller.complete(&format!("last {}", style()), 2).await.done);
+    assert!(caller.complete(&format!("last {}", long_prefix()), 2).await.done);
     assert_eq!(wait_index_synced(&fleet, 0).await, 40);
     let gaps = fleet.metric(&fleet.sidecars[0], "bilberry_cache_event_gaps").await;
     assert!(gaps > Some(0.0), "{gaps:?}");
--- a/tests/tests/configuration.rs
+++ b/tests/tests/configuration.rs
@@ -14,12 +14,12 @@
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(4);
 
 /// Returns the fleet configuration with a comment that makes it unique.
-fn piece(fleet: &Fleet, mark: &str) -> String {
-    format!("{}\n# {mark}\n", fleet.plan.piece())
+fn piece(fleet: &Fleet, comment: &str) -> String {
+    format!("{}\n# {comment}\n", fleet.plan.piece())
 }
 
-async fn apply(fleet: &Fleet, entry: usize, mark: &str) -> Result<u64, String> {
-    fleet.apply(entry, &[("10-tests.toml", &piece(fleet, mark))]).await
+async fn apply(fleet: &Fleet, entry: usize, comment: &str) -> Result<u64, String> {
+    fleet.apply(entry, &[("10-tests.toml", &piece(fleet, comment))]).await
 }
 
 async fn revision(fleet: &Fleet, process: &Running) -> u64 {
--- a/tests/tests/leaving.rs
+++ b/tests/tests/leaving.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 /// Maximum time until a leaving upstream receives no new requests.
-const NO_WORK_AFTER: Duration = Duration::from_secs(3);
+const MAX_DRAIN_DELAY: Duration = Duration::from_secs(3);
 
 /// Starts two entries and three engines that generate a token every 5 ms.
 async fn fleet(plan: Plan) -> Fleet {
@@ -29,7 +29,7 @@
 }
 
 /// Sends requests until a sidecar reports that it is leaving, and asserts that
-/// this took less than [`NO_WORK_AFTER`] since `since`.
+/// this took less than [`MAX_DRAIN_DELAY`] since `since`.
 async fn ask_until_leaving(fleet: &Fleet, at: usize, since: Instant) {
     let name = format!("sidecar-e{at}");
     eventually("the sidecar leaves", || async {
@@ -39,7 +39,7 @@
         (found["leaving"] == true).then_some(())
     })
     .await;
-    assert!(since.elapsed() < NO_WORK_AFTER, "took {:?}", since.elapsed());
+    assert!(since.elapsed() < MAX_DRAIN_DELAY, "took {:?}", since.elapsed());
 }
 
 /// Sends requests and asserts that an engine receives none of them.
@@ -68,7 +68,7 @@
     streams
 }
 
-async fn assert_all_whole(streams: Vec<(String, Streaming)>) {
+async fn assert_all_complete(streams: Vec<(String, Streaming)>) {
     for (prompt, stream) in streams {
         let answer = stream.finish().await;
         assert_eq!(answer.text, expected_answer(&prompt, "w1", 60));
@@ -132,7 +132,7 @@
     let mut fleet = fleet(Plan::default()).await;
     let streams = start_streams(&fleet, 10, 1).await;
     fleet.entries[0].terminate();
-    assert_all_whole(streams).await;
+    assert_all_complete(streams).await;
     assert_eq!(fleet.entries[0].ended().await.code(), Some(0));
     let answer = fleet.caller(1, "anna").complete("elsewhere", 2).await;
     assert!(answer.done);
@@ -148,7 +148,7 @@
         fleet.sidecars[at].terminate();
     }
     ask_once(&fleet, "during the stop").await;
-    assert_all_whole(streams).await;
+    assert_all_complete(streams).await;
     for at in 0..2 {
         assert_eq!(fleet.sidecars[at].ended().await.code(), Some(0));
         assert_eq!(fleet.engine(at).await.cancelled, 0);
--- a/tests/tests/not_run.rs
+++ b/tests/tests/not_run.rs
@@ -11,7 +11,7 @@
 use bilberry_tests::eventually;
 
 /// Number of bytes after which the link to the sidecar is cut.
-const CUTS: [u64; 10] = [1, 40, 80, 120, 160, 200, 240, 280, 400, 100_000];
+const CUT_OFFSETS: [u64; 10] = [1, 40, 80, 120, 160, 200, 240, 280, 400, 100_000];
 
 fn run_state(reply: &Reply) -> String {
     match reply.status {
@@ -41,20 +41,23 @@
     fleet.links[0].cut().await;
     let reply = caller.call_once("refused", "proof").await.expect("an answer");
     check(&fleet, "refused", &reply, "refused").await;
-    let mut told = vec![run_state(&reply)];
-    for (at, bytes) in CUTS.iter().enumerate() {
+    let mut run_states = vec![run_state(&reply)];
+    for (at, bytes) in CUT_OFFSETS.iter().enumerate() {
         for towards in [true, false] {
             match towards {
                 true => fleet.links[0].cut_after_sent(*bytes).await,
                 false => fleet.links[0].cut_after_answered(*bytes).await,
             }
             let what = format!("cut-{at}-{towards}");
-            told.push(call_until_connected(&fleet, &what).await);
+            run_states.push(call_until_connected(&fleet, &what).await);
         }
     }
     // The cuts must cover the phases before, during and after the dispatch.
     for state in ["not_run", "may_have_run", "ran"] {
-        assert!(told.iter().any(|word| word == state), "no cut led to {state}: {told:?}");
+        assert!(
+            run_states.iter().any(|word| word == state),
+            "no cut led to {state}: {run_states:?}"
+        );
     }
 }
 
--- a/tests/tests/own_answers.rs
+++ b/tests/tests/own_answers.rs
@@ -61,18 +61,18 @@
     fleet.links[1].heal().await;
     fleet.links[2].cut().await;
     fleet.links[2].heal().await;
-    let mut whole = 0;
+    let mut complete = 0;
     for running in callers {
         let (answer, expected) = running.await.expect("a caller ends");
         if answer.done {
             assert_eq!(answer.text, expected);
-            whole += 1;
+            complete += 1;
         } else {
             assert!(expected.starts_with(&answer.text));
             assert!(answer.error.is_some(), "a silent end: {answer:?}");
         }
     }
-    assert!(whole >= CALLERS * 9 / 10, "only {whole} answers were whole");
+    assert!(complete >= CALLERS * 9 / 10, "only {complete} answers were whole");
 }
 
 /// Faults of a fake sidecar.
--- a/tests/tests/platform_returns.rs
+++ b/tests/tests/platform_returns.rs
@@ -11,8 +11,8 @@
 /// Maximum time until an accepted change is in force in every process.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(4);
 
-async fn apply(fleet: &Fleet, mark: &str) -> u64 {
-    let piece = format!("{}\n# {mark}\n", fleet.plan.piece());
+async fn apply(fleet: &Fleet, comment: &str) -> u64 {
+    let piece = format!("{}\n# {comment}\n", fleet.plan.piece());
     fleet.apply(0, &[("10-tests.toml", &piece)]).await.expect("it is accepted")
 }
 
--- a/tests/tests/policy.rs
+++ b/tests/tests/policy.rs
@@ -10,12 +10,12 @@
 use bilberry_tests::Plan;
 
 /// Returns a unique prompt of about 800 tokens.
-fn unique(at: usize) -> String {
+fn unique_prompt(at: usize) -> String {
     format!("unique {at} ").repeat(300)
 }
 
 /// Returns the number of upstream calls by an entry.
-async fn calls(fleet: &Fleet) -> f64 {
+async fn upstream_calls(fleet: &Fleet) -> f64 {
     fleet.metric(&fleet.entries[0], "bilberry_upstream_calls_total").await.unwrap_or(0.0)
 }
 
@@ -38,10 +38,14 @@
     fleet.set_faults(&fleet.upstreams[0], &faults).await;
     let caller = fleet.caller(0, "anna");
     for at in 0..60 {
-        let answer = caller.complete(&unique(at), 2).await;
-        assert_eq!(answer.text, expected_answer(&unique(at), "w1", 2), "{answer:?}");
+        let answer = caller.complete(&unique_prompt(at), 2).await;
+        assert_eq!(
+            answer.text,
+            expected_answer(&unique_prompt(at), "w1", 2),
+            "{answer:?}"
+        );
     }
-    let calls = calls(&fleet).await;
+    let calls = upstream_calls(&fleet).await;
     assert!(calls <= 60.0 * 1.15, "{calls} calls for 60 requests");
 }
 
@@ -54,7 +58,7 @@
     fleet.set_faults(&fleet.upstreams[0], &faults).await;
     let caller = fleet.caller(0, "anna");
     for at in 0..60 {
-        assert!(caller.complete(&unique(at), 1).await.done);
+        assert!(caller.complete(&unique_prompt(at), 1).await.done);
     }
     let slow = fleet.engine(0).await.runs;
     assert!(slow <= 6, "the slow engine got {slow} of 60 requests");
@@ -77,11 +81,11 @@
     fleet.upstreams[at].freeze();
     let answer = stream.finish().await;
     assert_eq!(answer.text, expected_answer("a long answer", "w1", 50), "{answer:?}");
-    let before = calls(&fleet).await;
+    let before = upstream_calls(&fleet).await;
     for at in 0..10 {
-        assert!(caller.complete(&unique(at), 1).await.done);
+        assert!(caller.complete(&unique_prompt(at), 1).await.done);
     }
-    assert_eq!(calls(&fleet).await, before + 10.0);
+    assert_eq!(upstream_calls(&fleet).await, before + 10.0);
     fleet.upstreams[at].thaw();
 }
 
@@ -120,7 +124,7 @@
     }
     assert!(refused >= 30, "{refused} were refused");
     assert!(times.len() > refused / 2, "{} times for {refused} callers", times.len());
-    let calls = calls(&fleet).await;
+    let calls = upstream_calls(&fleet).await;
     assert!(calls <= 40.0 + 15.0, "{calls} calls for 40 requests");
 }
 
@@ -134,12 +138,16 @@
     let running: Vec<_> = (0..12)
         .map(|at| {
             let caller = fleet.caller(0, ["anna", "ben"][at % 2]);
-            tokio::spawn(async move { caller.complete(&unique(at), 2).await })
+            tokio::spawn(async move { caller.complete(&unique_prompt(at), 2).await })
         })
         .collect();
     for (at, answer) in running.into_iter().enumerate() {
         let answer = answer.await.expect("a caller ends");
-        assert_eq!(answer.text, expected_answer(&unique(at), "w1", 2), "{answer:?}");
+        assert_eq!(
+            answer.text,
+            expected_answer(&unique_prompt(at), "w1", 2),
+            "{answer:?}"
+        );
     }
 }
 
@@ -155,18 +163,18 @@
     let prompts = 24;
     for at in 0..prompts {
         let caller = fleet.caller(at % 3, "anna");
-        assert!(caller.complete(&unique(at), 2).await.done);
+        assert!(caller.complete(&unique_prompt(at), 2).await.done);
     }
-    let mut read_anew = Vec::new();
+    let mut recomputed = Vec::new();
     for at in 0..prompts {
         let before = cached_tokens(&fleet).await;
         let caller = fleet.caller((at + 1) % 3, "anna");
-        assert!(caller.complete(&unique(at), 2).await.done);
+        assert!(caller.complete(&unique_prompt(at), 2).await.done);
         if cached_tokens(&fleet).await == before {
-            read_anew.push(at);
+            recomputed.push(at);
         }
     }
-    assert!(read_anew.is_empty(), "prompts {read_anew:?} were read anew");
+    assert!(recomputed.is_empty(), "prompts {recomputed:?} were read anew");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -179,24 +187,25 @@
     let caller = fleet.caller(0, "anna");
     let prompts = 24;
     for at in 0..prompts {
-        assert!(caller.complete(&unique(at), 2).await.done);
+        assert!(caller.complete(&unique_prompt(at), 2).await.done);
     }
     for link in &fleet.links {
         link.delay_answers(5).await;
     }
-    let mut read_anew = Vec::new();
+    let mut recomputed = Vec::new();
     for at in 0..prompts {
         let before = cached_tokens(&fleet).await;
         let asking = caller.clone();
-        let asked = tokio::spawn(async move { asking.complete(&unique(at), 2).await });
+        let asked =
+            tokio::spawn(async move { asking.complete(&unique_prompt(at), 2).await });
         tokio::time::sleep(Duration::from_millis(3)).await;
         fleet.entries[0].freeze();
         tokio::time::sleep(Duration::from_millis(60)).await;
         fleet.entries[0].thaw();
         assert!(asked.await.expect("a caller ends").done);
         if cached_tokens(&fleet).await == before {
-            read_anew.push(at);
+            recomputed.push(at);
         }
     }
-    assert!(read_anew.is_empty(), "prompts {read_anew:?} were read anew");
+    assert!(recomputed.is_empty(), "prompts {recomputed:?} were read anew");
 }
--- a/tests/tests/streams.rs
+++ b/tests/tests/streams.rs
@@ -32,7 +32,7 @@
     panic!("no engine runs the request");
 }
 
-fn assert_whole(answer: &Answer) {
+fn assert_complete(answer: &Answer) {
     assert_eq!(answer.text, expected_answer(PROMPT, "w1", TOKENS));
     assert!(answer.done, "the end mark is missing");
     assert_eq!(answer.error, None);
@@ -40,8 +40,8 @@
 
 /// Asserts that a stream delivered a correct prefix and ended with an error event.
 fn assert_interrupted(answer: &Answer) {
-    let whole = expected_answer(PROMPT, "w1", TOKENS);
-    assert!(whole.starts_with(&answer.text), "not a beginning: {}", answer.text);
+    let expected = expected_answer(PROMPT, "w1", TOKENS);
+    assert!(expected.starts_with(&answer.text), "not a beginning: {}", answer.text);
     assert_eq!(answer.error_field("code"), "stream_interrupted");
     assert_eq!(answer.error_field("run_state"), "ran");
     assert!(!answer.done, "an interrupted stream has no end mark");
@@ -56,7 +56,7 @@
     stream.read_tokens(5).await;
     let at = running_engine(&fleet).await;
     fleet.upstreams[at].kill();
-    assert_whole(&stream.finish().await);
+    assert_complete(&stream.finish().await);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -68,7 +68,7 @@
     stream.read_tokens(5).await;
     let at = running_engine(&fleet).await;
     fleet.sidecars[at].kill();
-    assert_whole(&stream.finish().await);
+    assert_complete(&stream.finish().await);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -83,7 +83,7 @@
     fleet.sidecars[at].freeze();
     stream.read_tokens(40).await;
     fleet.sidecars[at].thaw();
-    assert_whole(&stream.finish().await);
+    assert_complete(&stream.finish().await);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -98,7 +98,7 @@
     stream.read_tokens(20).await;
     fleet.links[first].heal().await;
     fleet.links[1 - first].cut().await;
-    assert_whole(&stream.finish().await);
+    assert_complete(&stream.finish().await);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -110,7 +110,7 @@
     stream.read_tokens(5).await;
     let at = running_engine(&fleet).await;
     fleet.links[at].swallow().await;
-    assert_whole(&stream.finish().await);
+    assert_complete(&stream.finish().await);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -120,7 +120,7 @@
     let mut stream = fleet.caller(0, "anna").start(PROMPT, TOKENS).await;
     stream.read_tokens(5).await;
     fleet.links[0].delay_answers(200).await;
-    assert_whole(&stream.finish().await);
+    assert_complete(&stream.finish().await);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -134,7 +134,7 @@
         }
         let answer = fleet.caller(0, "anna").complete(PROMPT, TOKENS).await;
         match answer.status {
-            200 if answer.error.is_none() => assert_whole(&answer),
+            200 if answer.error.is_none() => assert_complete(&answer),
             200 => assert_interrupted(&answer),
             status => assert!(status >= 500, "status {status}"),
         }
@@ -151,7 +151,7 @@
     let at = running_engine(&fleet).await;
     fleet.upstreams[at].kill();
     fleet.links[(at + 1) % 3].cut().await;
-    assert_whole(&stream.finish().await);
+    assert_complete(&stream.finish().await);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -190,7 +190,7 @@
     let faults = EngineFaults { end_after: 5, ..EngineFaults::default() };
     fleet.set_faults(&fleet.upstreams[0], &faults).await;
     eventually("the engine that ends early is asked", || async {
-        assert_whole(&fleet.caller(0, "anna").complete(PROMPT, TOKENS).await);
+        assert_complete(&fleet.caller(0, "anna").complete(PROMPT, TOKENS).await);
         (fleet.engine(0).await.runs > 0).then_some(())
     })
     .await;
