--- a/tests/tests/policy.rs
+++ b/tests/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The routing under faults: black holes, slow and silent engines, refusals.
+//! Routing under faults: failing, slow and hung engines, and rejected requests.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,17 +9,17 @@
 use bilberry_tests::Fleet;
 use bilberry_tests::Plan;
 
-/// A prompt of about 800 tokens that nobody sent before.
-fn unique(at: usize) -> String {
+/// Returns a unique prompt of about 800 tokens.
+fn unique_prompt(at: usize) -> String {
     format!("unique {at} ").repeat(300)
 }
 
-/// Returns the calls to upstreams that an entry made.
-async fn calls(fleet: &Fleet) -> f64 {
+/// Returns the number of upstream calls by an entry.
+async fn upstream_calls(fleet: &Fleet) -> f64 {
     fleet.metric(&fleet.entries[0], "bilberry_upstream_calls_total").await.unwrap_or(0.0)
 }
 
-/// Returns the prompt tokens that engines had cached.
+/// Returns the number of cached prompt tokens on all engines.
 async fn cached_tokens(fleet: &Fleet) -> u64 {
     let mut tokens = 0;
     for at in 0..fleet.plan.engines.len() {
@@ -30,31 +30,35 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_fails_at_once_swallows_no_traffic() {
-    // One of three engines answers every call with an error, at once, and so
-    // looks idle. Its sidecar's breaker opens after three failures and says so in
-    // its probes. Every caller is served; few calls are wasted.
+    // One of three engines fails every call immediately and so appears idle. The
+    // circuit breaker of its sidecar opens after three failures, which probe answers
+    // report. Every caller is served, and few calls are wasted.
     let fleet = Fleet::start(Plan::engines(3)).await;
     let faults = EngineFaults { fail_fast: true, ..EngineFaults::default() };
     fleet.set_faults(&fleet.upstreams[0], &faults).await;
     let caller = fleet.caller(0, "anna");
     for at in 0..60 {
-        let answer = caller.complete(&unique(at), 2).await;
-        assert_eq!(answer.text, expected_answer(&unique(at), "w1", 2), "{answer:?}");
+        let answer = caller.complete(&unique_prompt(at), 2).await;
+        assert_eq!(
+            answer.text,
+            expected_answer(&unique_prompt(at), "w1", 2),
+            "{answer:?}"
+        );
     }
-    let calls = calls(&fleet).await;
+    let calls = upstream_calls(&fleet).await;
     assert!(calls <= 60.0 * 1.15, "{calls} calls for 60 requests");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_engine_gets_less_work() {
-    // One of three engines is thirty times slower, but alive. Its sidecar learns
-    // the slope of time over tokens, and the scores lead requests elsewhere.
+    // One of three engines is healthy but thirty times slower. Its sidecar estimates
+    // the time per token, and the scores route requests to other engines.
     let fleet = Fleet::start(Plan::engines(3)).await;
     let faults = EngineFaults { slowness: 30.0, ..EngineFaults::default() };
     fleet.set_faults(&fleet.upstreams[0], &faults).await;
     let caller = fleet.caller(0, "anna");
     for at in 0..60 {
-        assert!(caller.complete(&unique(at), 1).await.done);
+        assert!(caller.complete(&unique_prompt(at), 1).await.done);
     }
     let slow = fleet.engine(0).await.runs;
     assert!(slow <= 6, "the slow engine got {slow} of 60 requests");
@@ -62,9 +66,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_silent_engine_is_given_up() {
-    // The engine hangs in mid-stream with its connections open. After four
-    // seconds of silence its sidecar gives up, the stream goes on elsewhere, and
-    // missing reports keep new requests away from it.
+    // The engine hangs in mid-stream with its connections open. Its sidecar times out
+    // after four seconds without data, the stream resumes elsewhere, and missing
+    // reports exclude the engine from new requests.
     let traits = EngineTraits { token_us: 10_000, ..EngineTraits::default() };
     let fleet = Fleet::start(Plan { engines: vec![traits; 2], ..Plan::default() }).await;
     let caller = fleet.caller(0, "anna");
@@ -77,19 +81,19 @@
     fleet.upstreams[at].freeze();
     let answer = stream.finish().await;
     assert_eq!(answer.text, expected_answer("a long answer", "w1", 50), "{answer:?}");
-    let before = calls(&fleet).await;
+    let before = upstream_calls(&fleet).await;
     for at in 0..10 {
-        assert!(caller.complete(&unique(at), 1).await.done);
+        assert!(caller.complete(&unique_prompt(at), 1).await.done);
     }
-    assert_eq!(calls(&fleet).await, before + 10.0);
+    assert_eq!(upstream_calls(&fleet).await, before + 10.0);
     fleet.upstreams[at].thaw();
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_callers_are_spread_over_time_and_retries_stay_few() {
-    // Two engines with one place and one waiting place each, and forty callers
-    // at once. Those refused are told different times to come back, and few are
-    // tried at the other engine as well: the budget is a tenth of the traffic.
+    // Forty callers send requests at once to two engines with one slot and one queue
+    // place each. Rejected callers get different retry delays. Few requests are
+    // retried on the other engine: the retry budget is a tenth of the traffic.
     let traits =
         EngineTraits { token_us: 50_000, max_running: 1, ..EngineTraits::default() };
     let fleet = Fleet::start(Plan {
@@ -120,83 +124,88 @@
     }
     assert!(refused >= 30, "{refused} were refused");
     assert!(times.len() > refused / 2, "{} times for {refused} callers", times.len());
-    let calls = calls(&fleet).await;
+    let calls = upstream_calls(&fleet).await;
     assert!(calls <= 40.0 + 15.0, "{calls} calls for 40 requests");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_can_wait_is_not_refused() {
-    // Twelve requests come at once to an engine with two places. Each takes a
-    // while, and each may take a minute: all of them wait their turn. Here a
-    // deadline compared the wrong way round once refused whoever had to wait.
+    // Twelve requests with a deadline of one minute arrive at once at an engine with
+    // two slots; all of them must be queued. Guards against an inverted deadline
+    // comparison that rejected every request that had to wait.
     let traits = EngineTraits { max_running: 2, ..EngineTraits::default() };
     let fleet = Fleet::start(Plan { engines: vec![traits], ..Plan::default() }).await;
     let running: Vec<_> = (0..12)
         .map(|at| {
             let caller = fleet.caller(0, ["anna", "ben"][at % 2]);
-            tokio::spawn(async move { caller.complete(&unique(at), 2).await })
+            tokio::spawn(async move { caller.complete(&unique_prompt(at), 2).await })
         })
         .collect();
     for (at, answer) in running.into_iter().enumerate() {
         let answer = answer.await.expect("a caller ends");
-        assert_eq!(answer.text, expected_answer(&unique(at), "w1", 2), "{answer:?}");
+        assert_eq!(
+            answer.text,
+            expected_answer(&unique_prompt(at), "w1", 2),
+            "{answer:?}"
+        );
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slightly_faster_engine_takes_no_prompt_that_others_do_not_find_there() {
-    // Six idle engines, one of them faster. Some prompts come to an entry while
-    // that one is asked by chance, with none of their ranks leading to it. It
-    // computes them soonest, but the next entry asks others, and each of these
-    // callers pays for its whole prompt a second time.
+    // Six engines are idle, one of them faster. An entry can probe the faster one at
+    // random although no rank of the prompt selects it. That engine would finish
+    // first, but the next entry probes others, so the whole prompt would be computed
+    // a second time.
     let mut engines = vec![EngineTraits::default(); 6];
     engines[0].prefill_us_per_token = 25.0;
     let fleet = Fleet::start(Plan { entries: 3, engines, ..Plan::default() }).await;
     let prompts = 24;
     for at in 0..prompts {
         let caller = fleet.caller(at % 3, "anna");
-        assert!(caller.complete(&unique(at), 2).await.done);
+        assert!(caller.complete(&unique_prompt(at), 2).await.done);
     }
-    let mut read_anew = Vec::new();
+    let mut recomputed = Vec::new();
     for at in 0..prompts {
         let before = cached_tokens(&fleet).await;
         let caller = fleet.caller((at + 1) % 3, "anna");
-        assert!(caller.complete(&unique(at), 2).await.done);
+        assert!(caller.complete(&unique_prompt(at), 2).await.done);
         if cached_tokens(&fleet).await == before {
-            read_anew.push(at);
+            recomputed.push(at);
         }
     }
-    assert!(read_anew.is_empty(), "prompts {read_anew:?} were read anew");
+    assert!(recomputed.is_empty(), "prompts {recomputed:?} were read anew");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_stood_still_reads_the_answers_that_came_meanwhile() {
-    // An entry asks who holds a prompt, and its host gives it no time for some tens
-    // of milliseconds. The answers lie in its sockets when it goes on, as does the
-    // end of its wait for them. It takes all that it asked for silent, and its
-    // caller pays for the whole prompt again.
+    // An entry sends probes and is then not scheduled for tens of milliseconds. When
+    // it resumes, the answers are in its sockets but the probe timeout has expired
+    // too. If it treated all probed sidecars as silent, the whole prompt would be
+    // computed again.
     let fleet = Fleet::start(Plan { proxied_sidecars: true, ..Plan::engines(6) }).await;
     let caller = fleet.caller(0, "anna");
     let prompts = 24;
     for at in 0..prompts {
-        assert!(caller.complete(&unique(at), 2).await.done);
+        assert!(caller.complete(&unique_prompt(at), 2).await.done);
     }
     for link in &fleet.links {
         link.delay_answers(5).await;
     }
-    let mut read_anew = Vec::new();
+    let mut recomputed = Vec::new();
     for at in 0..prompts {
         let before = cached_tokens(&fleet).await;
         let asking = caller.clone();
-        let asked = tokio::spawn(async move { asking.complete(&unique(at), 2).await });
+        let asked =
+            tokio::spawn(async move { asking.complete(&unique_prompt(at), 2).await });
         tokio::time::sleep(Duration::from_millis(3)).await;
         fleet.entries[0].freeze();
         tokio::time::sleep(Duration::from_millis(60)).await;
         fleet.entries[0].thaw();
         assert!(asked.await.expect("a caller ends").done);
         if cached_tokens(&fleet).await == before {
-            read_anew.push(at);
+            recomputed.push(at);
         }
     }
-    assert!(read_anew.is_empty(), "prompts {read_anew:?} were read anew");
+    assert!(recomputed.is_empty(), "prompts {recomputed:?} were read anew");
 }
