--- a/crates/bilberry-core/src/link_share.rs
+++ b/crates/bilberry-core/src/link_share.rs
@@ -2,8 +2,8 @@
 //!
 //! When the active prompts fill the prompt store, the demand on its single link can
 //! exceed the bandwidth, and each transfer queues behind all earlier ones. Callers then
-//! got their first event after half a second, while prefilling the same prompt would
-//! have taken a tenth of that.
+//! get their first event after half a second, while prefilling the same prompt takes a
+//! tenth of that.
 
 use crate::UnixMs;
 use crate::entry_share::entry_share;
@@ -11,11 +11,9 @@
 /// The burst capacity of a share, as the time over which it accumulates.
 ///
 /// Callers are spread unevenly over entries and uncached prompts arrive in bursts, so a
-/// smaller value leaves part of the link unused. Compared with 800 ms, this value
-/// raised the value delivered to callers by 0.004, the mean of 24 paired runs of four
-/// days on three deployments, including a calm one at full load. With a larger value,
-/// the entries together request over a seventh more than the link carries in the ten
-/// seconds after an idle period.
+/// smaller value leaves part of the link unused. With a larger value, the entries
+/// together request over a seventh more than the link carries in the ten seconds after
+/// an idle period.
 const BURST_MS: f64 = 1_300.0;
 
 /// The cost of a transfer between data centres relative to one within a data centre.
--- a/crates/bilberry-core/src/outage.rs
+++ b/crates/bilberry-core/src/outage.rs
@@ -3,10 +3,7 @@
 //! When all upstreams of a service lose power together for many seconds, callers keep
 //! sending requests, and each retries once or twice before its deadline. With a retry
 //! delay of less than a second, which suits a service that is merely overloaded, callers
-//! had used up their retries long before the first upstream was back. With the delays
-//! chosen here, 38% instead of 28% of the requests during sixteen seconds of such an
-//! outage were served (mean of four simulations, in which a quarter of all requests
-//! needed none of these upstreams).
+//! use up their retries long before the first upstream is back.
 
 use crate::UnixMs;
 
--- a/crates/bilberry-core/src/placement.rs
+++ b/crates/bilberry-core/src/placement.rs
@@ -31,9 +31,7 @@
 /// prefilled.
 ///
 /// Fetching is about 200 times as fast as prefilling, but the fetched tokens are then
-/// cached twice and evict other prompts. Compared with a quarter of the cost, half of
-/// it recomputed 4% fewer tokens and raised the value delivered to callers by 0.012,
-/// the mean of nine days; the full cost gave no further gain.
+/// cached twice and evict other prompts, which must be prefilled again.
 const FETCH_COST_DIVISOR: u64 = 2;
 
 /// The cost of serving a request with older weights, in prompt tokens.
@@ -204,8 +202,8 @@
 /// Returns the cost to the request of a weights load planned at an engine.
 ///
 /// New weights are announced every few seconds and the engines load them in turn, so
-/// there is nearly always an engine that will not load before a long answer ends. This
-/// cost reduced generation past a load by a fifth, over seven days.
+/// there is nearly always an engine that will not load before a long answer ends. The
+/// cost makes such an engine preferred, so that fewer tokens are generated past a load.
 fn load_overlap_cost(demand: &Demand, offer: &Offer) -> u64 {
     let Some(loads_in_ms) = offer.loads_in_ms else { return 0 };
     let overlap_ms = demand.answer_ms.saturating_sub(loads_in_ms);
--- a/crates/bilberry-core/src/readings.rs
+++ b/crates/bilberry-core/src/readings.rs
@@ -3,9 +3,7 @@
 //! New weights, a crash or a hot key can leave a shared part in no cache. Before the
 //! first request for it is answered, a dozen others arrive at several entries and go to
 //! as many engines, and each engine prefills the same part. Instead, they wait for the
-//! first prefill and fetch its result. This raised the value delivered to callers by
-//! 0.012 on days with crashes, new weights and bursts, the mean of twelve paired runs
-//! on three deployments, and by 0.001 on quiet days.
+//! first prefill and fetch its result.
 
 use std::collections::HashMap;
 
--- a/crates/bilberry-core/src/rollout.rs
+++ b/crates/bilberry-core/src/rollout.rs
@@ -73,7 +73,7 @@
 
     fn wave_size(&self, place: RolloutPlace, wave_ms: u64) -> usize {
         // Servers that are down already reduce capacity. With a third of them down and
-        // a full wave loading as well, the memory of the others filled up immediately.
+        // a full wave loading as well, the memory of the others fills up immediately.
         let full_wave = place.servers.div_ceil(WAVE_DIVISOR);
         let affordable = full_wave.saturating_sub(place.down);
         // The rollout must still meet the bound, because servers that load too late
--- a/crates/bilberry-core/src/routing.rs
+++ b/crates/bilberry-core/src/routing.rs
@@ -13,7 +13,7 @@
 /// that was not chosen by rank.
 ///
 /// The next entry probes other upstreams, so the prompt is computed again. With a
-/// factor of one, an idle upstream that appeared slightly faster drew prompts away from
+/// factor of one, an idle upstream that appears slightly faster draws prompts away from
 /// the upstreams that all entries probe for them.
 const UNRANKED_COMPUTE_FACTOR: f64 = 2.0;
 
--- a/crates/bilberry-core/src/shared_budget.rs
+++ b/crates/bilberry-core/src/shared_budget.rs
@@ -4,9 +4,8 @@
 //! are retried on one full engine after another. At the next crash no retry is left for
 //! the streams of that engine. Their callers lose the output that they have received,
 //! whereas a request that has not started can still be refused and retried by its
-//! caller. Reserving part of the budget for started streams let a quarter more of them
-//! resume elsewhere, 253 instead of 203 in six paired runs of such crashes, and a fifth
-//! fewer requests were cut off.
+//! caller. Part of the budget is therefore reserved for started streams, so that more of
+//! them resume elsewhere and fewer requests are cut off.
 
 use std::collections::VecDeque;
 
--- a/crates/bilberry-core/src/source.rs
+++ b/crates/bilberry-core/src/source.rs
@@ -38,7 +38,7 @@
     let best = best.filter(|(_, copy)| copy.held_tokens > own_tokens);
     match (best, kept_tokens) {
         // An engine with only the first level would leave the deeper levels to be
-        // prefilled, which recomputed a seventh of all tokens over twelve days of load.
+        // prefilled, which recomputes a seventh of all tokens.
         (Some((at, copy)), Some(kept)) if kept <= copy.held_tokens => {
             Some(Source::Peer(at))
         }
@@ -51,9 +51,9 @@
 /// Reports whether a prompt should be saved in the prompt store.
 ///
 /// `lacking_tokens` are the shared tokens that the store lacks. The store receives the
-/// whole prompt, and tokens specific to one request evict shared ones. Saving only
-/// prompts with at most as many own tokens as missing shared ones, instead of all
-/// prompts, recomputed 12% fewer shared tokens, summed over nine days.
+/// whole prompt, and tokens specific to one request evict shared ones, which must then
+/// be recomputed. A prompt is therefore saved only if it has at most as many own tokens
+/// as missing shared ones.
 pub fn is_worth_keeping(lacking_tokens: u64, own_tokens: u64) -> bool {
     lacking_tokens > 0 && own_tokens <= lacking_tokens
 }
--- a/crates/bilberry-gateway/src/forward.rs
+++ b/crates/bilberry-gateway/src/forward.rs
@@ -43,8 +43,8 @@
 /// The same multiple for an engine that its sidecar reports as alive.
 ///
 /// Such an engine is slow because it is loaded, and a second send would add to the load.
-/// With the shorter timeout, a sixth of all streams were sent twice in an overload that
-/// followed the loss of engines.
+/// With the shorter timeout, a sixth of all streams are sent twice in an overload that
+/// follows the loss of engines.
 const LIVE_STREAM_TIMEOUT_FACTOR: f64 = 5.0;
 
 /// The head of an upstream's response, with the body still to be read.
--- a/crates/bilberry-gateway/src/held.rs
+++ b/crates/bilberry-gateway/src/held.rs
@@ -12,7 +12,7 @@
 ///
 /// The store evicts the least recently used parts without notification. After this time
 /// the part is offered again, which transfers nothing unless it has to be prefilled. With
-/// 4 s instead of 16 s, a fifth more tokens are prefilled again.
+/// a much shorter time, more tokens are prefilled again.
 const ASSUMED_KEPT_MS: u64 = 16_000;
 
 /// The number of recorded writes above which expired ones are pruned.
--- a/crates/bilberry-gateway/src/prompt_keys.rs
+++ b/crates/bilberry-gateway/src/prompt_keys.rs
@@ -9,10 +9,9 @@
 
 /// The cache keys of one prompt's shared parts under one salt.
 ///
-/// A request is compared with all upstreams of its service. Hashing the salt once per
-/// part, instead of once per part and upstream, reduces a comparison from 1.7 to 1.5 us
-/// with 20 upstreams, and from 17 to 11 us with 200 (median of the example
-/// `prompt_keys`).
+/// A request is compared with all upstreams of its service. The salt is hashed once per
+/// part, because with hundreds of upstreams hashing it for each of them would take a
+/// considerable part of the comparison (see the example `prompt_keys`).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptKeys {
     salt: String,
--- a/crates/bilberry-gateway/src/relay.rs
+++ b/crates/bilberry-gateway/src/relay.rs
@@ -58,8 +58,8 @@
 /// Waits until the sidecar reports the upstream as lost and [`LOST_GRACE`] has passed.
 ///
 /// Each event restarts this wait. An upstream that shuts down answers no health checks
-/// but still finishes its runs. When the sidecar's report alone was enough, at-most-once
-/// streams were cut off and lost.
+/// but still finishes its runs. If the sidecar's report alone were enough, at-most-once
+/// streams would be cut off and lost.
 async fn wait_until_lost(upstream: &Upstream) {
     upstream.lost().await;
     sleep(LOST_GRACE).await;
--- a/crates/bilberry-gateway/src/upstream.rs
+++ b/crates/bilberry-gateway/src/upstream.rs
@@ -33,9 +33,8 @@
 /// Some cache events are lost. Without an expiry, a part whose eviction was not
 /// reported would count as held forever, and every fetch of it would go to an upstream
 /// that does not have it. A failed fetch costs one millisecond, prefilling a part again
-/// a few hundred. The value for callers is 0.005 higher than with 6 s and 0.010 higher
-/// than with 3 s (mean of twelve paired simulations of crashes and new weights on three
-/// deployments).
+/// a few hundred, so a part that is no longer held does less harm than one forgotten too
+/// early.
 const PART_TTL_MS: u64 = 12_000;
 
 /// The number of recorded parts of one upstream above which expired ones are pruned.
@@ -313,10 +312,9 @@
     /// Discards the state from the sidecar after its connection is lost.
     ///
     /// The engine's parts still count until a send to it fails, as an engine keeps
-    /// running without its sidecar. When its parts were discarded too, its prompts were
-    /// prefilled again at other engines: under full load with sidecars that end
-    /// repeatedly, 0.08 of the value for callers remained, compared with 0.19 now (mean
-    /// of four simulations).
+    /// running without its sidecar. If its parts were discarded too, its prompts would be
+    /// prefilled again at other engines. Under full load with sidecars that end
+    /// repeatedly, this more than halves the value for callers.
     pub fn clear_feed(&self) {
         let mut live = self.live.lock().unwrap();
         if live.feed.take().is_some() {
--- a/crates/bilberry-gateway/src/upstreams.rs
+++ b/crates/bilberry-gateway/src/upstreams.rs
@@ -313,10 +313,10 @@
 /// address.
 ///
 /// A crashed server stays listed for some heartbeats after it has restarted at the same
-/// address under another id, or after another service was given the address. Before
-/// this check, entries that had just restarted themselves sent requests to such stale
-/// ids until the few retries were used up, and refused callers while half of the
-/// servers were idle.
+/// address under another id, or after another service was given the address. Without
+/// this check, entries that have just restarted themselves send requests to such stale
+/// ids until the few retries are used up, and refuse callers while half of the servers
+/// are idle.
 fn retire_older(by_id: &HashMap<Name, Arc<Upstream>>, new: &Arc<Upstream>) {
     let others = by_id.values().filter(|known| known.id != new.id);
     for known in others.filter(|known| known.address == new.address) {
