--- a/crates/bilberry-config/src/compile.rs
+++ b/crates/bilberry-config/src/compile.rs
@@ -4,8 +4,8 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
+use bilberry_core::DataCentre;
 use bilberry_core::Name;
-use bilberry_core::Place;
 
 use crate::ConfigError;
 use crate::Customer;
@@ -212,7 +212,7 @@
                 &upstream.pool,
             )?;
             let value = bad_value(file, "upstream", &upstream.name);
-            if Place::parse(&upstream.place).is_none() {
+            if DataCentre::parse(&upstream.place).is_none() {
                 return Err(value("place", "is no place", "write it as `region/hall`"));
             }
             if upstream.max_running == 0 {
--- a/crates/bilberry-config/src/settings.rs
+++ b/crates/bilberry-config/src/settings.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
+use bilberry_core::DataCentre;
 use bilberry_core::Name;
-use bilberry_core::Place;
 use serde::Deserialize;
 
 use crate::SettingsError;
@@ -174,8 +174,8 @@
     }
 
     /// Returns the data centre.
-    pub fn parsed_place(&self) -> Place {
-        Place::parse(&self.place)
+    pub fn parsed_place(&self) -> DataCentre {
+        DataCentre::parse(&self.place)
             .expect("the place is validated when the settings are parsed")
     }
 
@@ -190,7 +190,7 @@
         if self.process.is_empty() {
             return Err(("process", "is empty".into(), "give the process a name"));
         }
-        match Place::parse(&self.place) {
+        match DataCentre::parse(&self.place) {
             Some(_) => Ok(()),
             None => Err((
                 "place",
--- a/crates/bilberry-core/src/named_weights.rs
+++ b/crates/bilberry-core/src/announced_weights.rs
@@ -17,11 +17,11 @@
 ///
 /// Versions increase along the list and announcement times never decrease.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct NamedWeights {
+pub struct AnnouncedWeights {
     versions: Vec<(u64, UnixMs)>,
 }
 
-impl NamedWeights {
+impl AnnouncedWeights {
     /// Records a version that may have been announced as early as `since`; returns
     /// whether it is new.
     ///
--- a/crates/bilberry-core/src/crash_ledger.rs
+++ b/crates/bilberry-core/src/crash_ledger.rs
@@ -73,7 +73,7 @@
 
 /// Whether and how a request may be sent to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum RequestStatus {
     /// It is sent like any other request.
     Good,
     /// It is sent once per attempt, to the server that runs the fewest other requests.
@@ -121,14 +121,14 @@
         total_ms / self.counted().max(1) as u64
     }
 
-    fn standing(&self, is_blamed: bool, now: UnixMs) -> Standing {
+    fn standing(&self, is_blamed: bool, now: UnixMs) -> RequestStatus {
         let until = self.last_at.plus_ms(QUARANTINE_MS);
         match self.counted() {
             _ if is_blamed && !until.has_passed_at(now) => {
-                Standing::Quarantined { until }
+                RequestStatus::Quarantined { until }
             }
-            count if count >= SUSPECT_AFTER => Standing::Suspect,
-            _ => Standing::Good,
+            count if count >= SUSPECT_AFTER => RequestStatus::Suspect,
+            _ => RequestStatus::Good,
         }
     }
 }
@@ -192,11 +192,11 @@
     }
 
     /// Returns whether and how a request may be sent.
-    pub fn standing(&self, request: RequestKey, now: UnixMs) -> Standing {
+    pub fn standing(&self, request: RequestKey, now: UnixMs) -> RequestStatus {
         let crashes = self.requests.get(&request);
         let crashes = crashes.filter(|crashes| !is_expired(crashes, now));
         let is_blamed = self.blamed.contains(&request);
-        crashes.map_or(Standing::Good, |crashes| crashes.standing(is_blamed, now))
+        crashes.map_or(RequestStatus::Good, |crashes| crashes.standing(is_blamed, now))
     }
 
     /// Returns whether a report on any request, void or not, recorded a crash of a
@@ -221,7 +221,7 @@
         let effective_at =
             crashes.map(|crashes| crashes.last_at.plus_ms(QUARANTINE_DELAY_MS));
         let is_quarantined =
-            matches!(self.standing(request, now), Standing::Quarantined { .. });
+            matches!(self.standing(request, now), RequestStatus::Quarantined { .. });
         is_quarantined && effective_at.is_some_and(|at| !at.has_passed_at(now))
     }
 
@@ -236,7 +236,7 @@
     pub fn reports_on_suspects(&self, now: UnixMs) -> Vec<CrashReport> {
         let suspects = self.requests.iter();
         let suspects = suspects
-            .filter(|(request, _)| self.standing(**request, now) != Standing::Good);
+            .filter(|(request, _)| self.standing(**request, now) != RequestStatus::Good);
         suspects.flat_map(|(_, crashes)| &crashes.reports).copied().collect()
     }
 
@@ -308,13 +308,13 @@
 ///
 /// Kept in two generations, so that old entries are dropped without a scan.
 #[derive(Debug, Default)]
-pub struct ServedRequests {
+pub struct CompletedRequests {
     current: HashMap<RequestKey, UnixMs>,
     previous: HashMap<RequestKey, UnixMs>,
     since: UnixMs,
 }
 
-impl ServedRequests {
+impl CompletedRequests {
     /// Records that a request has completed.
     pub fn record(&mut self, request: RequestKey, now: UnixMs) {
         if now.ms_since(self.since) >= SERVED_RETENTION_MS {
--- a/crates/bilberry-core/src/lapses.rs
+++ b/crates/bilberry-core/src/expired_entries.rs
@@ -33,15 +33,15 @@
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub enum Removal {
     /// Immediately, because it has deregistered.
-    Now,
+    Immediate,
     /// At this time unless it is listed again, because its entry may have expired in an
     /// outage.
-    At(UnixMs),
+    Deferred(UnixMs),
 }
 
 /// The servers whose entries may have expired during an outage.
 #[derive(Debug)]
-pub struct Lapses {
+pub struct ExpiredEntries {
     min_outage_ms: u64,
     outage_began_at: Option<UnixMs>,
     failed_calls: u32,
@@ -49,7 +49,7 @@
     missing: BTreeMap<Name, UnixMs>,
 }
 
-impl Lapses {
+impl ExpiredEntries {
     /// Creates an empty set for servers that renew their entries every `heartbeat_ms`.
     pub fn new(heartbeat_ms: u64) -> Self {
         Self {
@@ -102,16 +102,16 @@
     /// Further calls for a server that is already missing do not extend its grace period.
     pub fn remove(&mut self, id: &Name, now: UnixMs) -> Removal {
         if let Some(&until) = self.missing.get(id) {
-            return Removal::At(until);
+            return Removal::Deferred(until);
         }
         let until =
             self.recovered_at.map(|recovered_at| recovered_at.plus_ms(RECOVERY_GRACE_MS));
         match until.filter(|until| !until.has_passed_at(now)) {
             Some(until) => {
                 self.missing.insert(id.clone(), until);
-                Removal::At(until)
+                Removal::Deferred(until)
             }
-            None => Removal::Now,
+            None => Removal::Immediate,
         }
     }
 
--- a/crates/bilberry-core/src/freshness.rs
+++ b/crates/bilberry-core/src/freshness.rs
@@ -1,8 +1,8 @@
 //! How long data read from the platform may be relied on.
 
 use crate::UnixMs;
-use crate::lapses::MIN_OUTAGE_CALLS;
-use crate::lapses::RECOVERY_GRACE_MS;
+use crate::expired_entries::MIN_OUTAGE_CALLS;
+use crate::expired_entries::RECOVERY_GRACE_MS;
 
 /// Tracks when data was last confirmed to be current.
 ///
--- a/crates/bilberry-core/src/incarnation.rs
+++ b/crates/bilberry-core/src/incarnation.rs
@@ -16,7 +16,7 @@
 
 /// How a reported incarnation compares with the known one.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
-pub enum Told {
+pub enum IncarnationOrder {
     /// Both are the same, or at least one of them is unknown.
     Same,
     /// The reported incarnation is newer, so the known one has ended.
@@ -27,11 +27,11 @@
 
 impl Incarnation {
     /// Compares a reported incarnation with the known one; `None` if it is unknown.
-    pub fn compare(known: Option<Self>, reported: Option<Self>) -> Told {
+    pub fn compare(known: Option<Self>, reported: Option<Self>) -> IncarnationOrder {
         match (known, reported) {
-            (Some(known), Some(reported)) if reported > known => Told::Newer,
-            (Some(known), Some(reported)) if reported < known => Told::Older,
-            _ => Told::Same,
+            (Some(known), Some(reported)) if reported > known => IncarnationOrder::Newer,
+            (Some(known), Some(reported)) if reported < known => IncarnationOrder::Older,
+            _ => IncarnationOrder::Same,
         }
     }
 }
--- a/crates/bilberry-core/src/index.rs
+++ b/crates/bilberry-core/src/index.rs
@@ -33,7 +33,7 @@
     /// Every event since the start or the last snapshot was applied.
     Synced,
     /// Events were lost; a snapshot must be fetched.
-    Unsure,
+    Incomplete,
 }
 
 /// The cached blocks of one incarnation of one engine.
@@ -51,7 +51,7 @@
         Self {
             incarnation: 0,
             next_sequence: 0,
-            state: IndexState::Unsure,
+            state: IndexState::Incomplete,
             blocks: HashSet::new(),
         }
     }
@@ -64,7 +64,7 @@
         match event.sequence {
             // The snapshot already includes events that precede it.
             n if n < self.next_sequence => return self.state,
-            n if n > self.next_sequence => self.state = IndexState::Unsure,
+            n if n > self.next_sequence => self.state = IndexState::Incomplete,
             _ => {}
         }
         self.next_sequence = event.sequence + 1;
@@ -111,7 +111,7 @@
 
     /// Marks the index as incomplete because events were lost.
     pub fn doubt(&mut self) {
-        self.state = IndexState::Unsure;
+        self.state = IndexState::Incomplete;
     }
 
     /// Returns the number of cached blocks.
--- a/crates/bilberry-core/src/limits.rs
+++ b/crates/bilberry-core/src/limits.rs
@@ -10,7 +10,7 @@
 
 /// The limit that a customer's request exceeds.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
-pub enum Overrun {
+pub enum LimitExceeded {
     /// The rate limit is exhausted.
     Rate {
         /// The time until a request can be admitted, in milliseconds.
@@ -70,7 +70,7 @@
         customer: &Name,
         allowance: Allowance,
         now: UnixMs,
-    ) -> Result<(), Overrun> {
+    ) -> Result<(), LimitExceeded> {
         if self.usage.len() > IDLE_CLEANUP_THRESHOLD {
             self.remove_idle(now);
         }
@@ -81,11 +81,11 @@
         usage.tokens = (usage.tokens + refill).min(allowance.burst());
         usage.refilled_at = usage.refilled_at.max(now);
         if usage.in_progress >= allowance.concurrency {
-            return Err(Overrun::Concurrency);
+            return Err(LimitExceeded::Concurrency);
         }
         if usage.tokens < 1.0 {
             let wait_ms = (1.0 - usage.tokens) / allowance.rate_per_s * 1_000.0;
-            return Err(Overrun::Rate { wait_ms: wait_ms.ceil() as u64 });
+            return Err(LimitExceeded::Rate { wait_ms: wait_ms.ceil() as u64 });
         }
         usage.tokens -= 1.0;
         usage.in_progress += 1;
--- a/crates/bilberry-core/src/link_share.rs
+++ b/crates/bilberry-core/src/link_budget.rs
@@ -28,7 +28,7 @@
 /// overdraw it, so that a prompt larger than the share can be moved at all. Later
 /// transfers are refused until the refill has covered the deficit.
 #[derive(Debug, Default)]
-pub struct LinkShare {
+pub struct LinkBudget {
     balance_tokens: f64,
     refilled_at: UnixMs,
 }
@@ -42,7 +42,7 @@
     pub same_place: bool,
 }
 
-impl LinkShare {
+impl LinkBudget {
     /// Charges a transfer to the share of a link of `tokens_per_s`; returns false if
     /// the share is exhausted.
     pub fn take(
--- a/crates/bilberry-core/src/order_lease.rs
+++ b/crates/bilberry-core/src/order_lease.rs
@@ -65,7 +65,7 @@
     /// The expected revision did not match; this is the stored claim.
     Conflict(SeenClaim),
     /// The write may take effect, now or later.
-    Unclear,
+    Unknown,
 }
 
 /// The next action of a process regarding the claim.
@@ -74,7 +74,7 @@
     /// Do nothing until this time.
     Wait(UnixMs),
     /// Check who holds the claim; the response may be seconds old.
-    Glance,
+    Check,
     /// Read the claim from the store itself.
     Read,
     /// Write the claim conditionally.
@@ -83,7 +83,7 @@
 
 /// The durations of a lease and of an order.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
-pub struct LeaseTerms {
+pub struct LeaseDurations {
     /// The minimum time between orders of two holders to the same engine, and the
     /// validity of a lease.
     pub lease_ms: u64,
@@ -91,7 +91,7 @@
     pub order_ms: u64,
 }
 
-impl LeaseTerms {
+impl LeaseDurations {
     /// Returns how long a claim must be unchanged before another process takes it over.
     ///
     /// The lease of the previous holder lasts one lease time; the second one separates
@@ -105,7 +105,7 @@
 #[derive(Debug)]
 pub struct OrderLease {
     own_host: Name,
-    terms: LeaseTerms,
+    terms: LeaseDurations,
     state: State,
     /// The highest era and term seen; terms must increase even if the claim is deleted.
     highest: Tenure,
@@ -139,7 +139,7 @@
 impl OrderLease {
     /// Creates the state of a process on `own_host` that knows of no claim and checks for
     /// one at `check_at`.
-    pub fn new(own_host: Name, terms: LeaseTerms, check_at: UnixMs) -> Self {
+    pub fn new(own_host: Name, terms: LeaseDurations, check_at: UnixMs) -> Self {
         let state = State::Following { last_seen: None, check_at };
         let highest = Tenure::default();
         Self { own_host, terms, state, highest, retry_at: UnixMs(0) }
@@ -152,7 +152,7 @@
         }
         match &self.state {
             State::Following { check_at, .. } if check_at.has_passed_at(now) => {
-                LeaseTask::Glance
+                LeaseTask::Check
             }
             State::Following { check_at, .. } => LeaseTask::Wait(*check_at),
             State::Unconfirmed => LeaseTask::Read,
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Processes the response to [`LeaseTask::Glance`].
+    /// Processes the response to [`LeaseTask::Check`].
     pub fn glanced(&mut self, seen: &SeenClaim, now: UnixMs) {
         self.record_tenure(seen);
         let State::Following { last_seen, check_at } = &mut self.state else { return };
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Records that a [`LeaseTask::Glance`] or [`LeaseTask::Read`] got no response.
+    /// Records that a [`LeaseTask::Check`] or [`LeaseTask::Read`] got no response.
     pub fn unanswered(&mut self, now: UnixMs) {
         self.retry_at = now.plus_ms(RETRY_MS);
     }
@@ -223,7 +223,7 @@
                 self.record_tenure(&seen);
                 self.handle_conflict(seen, now);
             }
-            WriteOutcome::Unclear => {
+            WriteOutcome::Unknown => {
                 self.retry_at = now.plus_ms(RETRY_MS);
                 match &mut self.state {
                     State::Holding(held) => held.unconfirmed = Some(write.claim),
--- a/crates/bilberry-core/src/placement.rs
+++ b/crates/bilberry-core/src/placement.rs
@@ -65,17 +65,17 @@
 
 /// Whether an upstream's weights may serve a request.
 #[derive(Debug, Copy, Clone, Default, PartialEq, Eq)]
-pub enum Weights {
+pub enum WeightsStatus {
     /// The weights are the newest, or older at no cost.
     #[default]
-    Fine,
+    Acceptable,
     /// The weights are older and incur a cost.
     Penalized,
     /// The weights are too old to start a request on them.
-    Barred,
+    Excluded,
 }
 
-impl Weights {
+impl WeightsStatus {
     /// Classifies weights that have been outdated for `lacking_ms`, if no request may
     /// start on older weights after `bound_ms`.
     ///
@@ -86,12 +86,12 @@
         let excluded_from_ms =
             bound_ms.map(|bound_ms| bound_ms.saturating_sub(OLD_WEIGHTS_MARGIN_MS));
         match lacking_ms {
-            None => Self::Fine,
+            None => Self::Acceptable,
             Some(ms) if excluded_from_ms.is_some_and(|from_ms| ms >= from_ms) => {
-                Self::Barred
+                Self::Excluded
             }
             Some(ms) if ms >= OLD_WEIGHTS_COST_AGE_MS => Self::Penalized,
-            Some(_) => Self::Fine,
+            Some(_) => Self::Acceptable,
         }
     }
 
@@ -111,7 +111,7 @@
 
 /// The known state of an upstream at placement.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Offer {
+pub struct PlacementCandidate {
     /// A hash of the upstream's identity.
     pub seed: u64,
     /// Whether it accepts work: it is up, not leaving and not loading weights.
@@ -129,7 +129,7 @@
     /// Requests queued at it.
     pub queued: u64,
     /// Whether its weights may serve the request.
-    pub weights: Weights,
+    pub weights: WeightsStatus,
     /// Shared tokens of the request that it is known to have cached.
     pub held_tokens: u64,
     /// The time until it starts a planned load of weights, in milliseconds.
@@ -138,7 +138,7 @@
 
 /// The requirements of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Demand {
+pub struct PlacementRequest {
     /// A hash of the shared part of the prompt.
     pub affinity: u64,
     /// Prompt tokens that are shared with other requests.
@@ -155,7 +155,7 @@
     pub can_fetch: bool,
 }
 
-impl Demand {
+impl PlacementRequest {
     /// Returns the memory that the running request needs, in tokens.
     pub fn memory_tokens(&self) -> u64 {
         self.shared_tokens + self.own_tokens + self.output_tokens
@@ -163,7 +163,7 @@
 }
 
 /// Returns the index of the best offer; `None` if no offer has capacity.
-pub fn place(demand: &Demand, offers: &[Offer]) -> Option<usize> {
+pub fn place(demand: &PlacementRequest, offers: &[PlacementCandidate]) -> Option<usize> {
     let scored =
         offers.iter().enumerate().filter(|(_, offer)| has_capacity(demand, offer));
     let scored = scored
@@ -171,14 +171,14 @@
     scored.min_by_key(|&(cost, rank, _)| (cost, !rank)).map(|(_, _, at)| at)
 }
 
-fn has_capacity(demand: &Demand, offer: &Offer) -> bool {
-    offer.weights != Weights::Barred
+fn has_capacity(demand: &PlacementRequest, offer: &PlacementCandidate) -> bool {
+    offer.weights != WeightsStatus::Excluded
         && offer.usable
         && offer.free_slots > 0
         && offer.free_tokens >= demand.memory_tokens()
 }
 
-fn cost(demand: &Demand, offer: &Offer) -> u64 {
+fn cost(demand: &PlacementRequest, offer: &PlacementCandidate) -> u64 {
     let missing = demand.shared_tokens.saturating_sub(offer.held_tokens);
     let missing = match demand.can_fetch {
         true => missing / FETCH_COST_DIVISOR,
@@ -189,8 +189,8 @@
         false => (1 + demand.body_bytes / 1_024) * CROSS_DATA_CENTRE_COST_TOKENS_PER_KB,
     };
     let older_weights = match offer.weights {
-        Weights::Fine => 0,
-        Weights::Penalized | Weights::Barred => OLD_WEIGHTS_COST_TOKENS,
+        WeightsStatus::Acceptable => 0,
+        WeightsStatus::Penalized | WeightsStatus::Excluded => OLD_WEIGHTS_COST_TOKENS,
     };
     missing
         + cross_data_centre
@@ -206,7 +206,7 @@
 /// New weights are announced every few seconds and the engines load them in turn, so
 /// there is nearly always an engine that will not load before a long answer ends. This
 /// cost reduced generation past a load by a fifth, over seven days.
-fn load_overlap_cost(demand: &Demand, offer: &Offer) -> u64 {
+fn load_overlap_cost(demand: &PlacementRequest, offer: &PlacementCandidate) -> u64 {
     let Some(loads_in_ms) = offer.loads_in_ms else { return 0 };
     let overlap_ms = demand.answer_ms.saturating_sub(loads_in_ms);
     LOAD_OVERLAP_COST_TOKENS * overlap_ms / demand.answer_ms.max(1)
--- a/crates/bilberry-core/src/readings.rs
+++ b/crates/bilberry-core/src/prefills.rs
@@ -33,23 +33,23 @@
 
 /// The shared parts being prefilled, with the upstream that prefills each.
 #[derive(Debug, Default)]
-pub struct Readings {
-    by_part: HashMap<u64, Reading>,
+pub struct PrefillsInProgress {
+    by_part: HashMap<u64, PrefillInProgress>,
 }
 
 /// The prefill of one part.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Reading {
+pub struct PrefillInProgress {
     /// The upstream that prefills the part.
     pub upstream: Name,
     /// The expected completion time, after which requests no longer wait for it.
     pub done_by: UnixMs,
 }
 
-impl Readings {
+impl PrefillsInProgress {
     /// Records that an upstream starts to prefill a part, unless an unexpired prefill of
     /// the part is already known.
-    pub fn begin(&mut self, part: u64, reading: Reading, now: UnixMs) {
+    pub fn begin(&mut self, part: u64, reading: PrefillInProgress, now: UnixMs) {
         if self.by_part.len() > EXPIRED_CLEANUP_THRESHOLD {
             self.by_part.retain(|_, reading| !reading.done_by.has_passed_at(now));
         }
@@ -71,13 +71,13 @@
         part: u64,
         prefill_ms: u64,
         now: UnixMs,
-    ) -> Option<&Reading> {
+    ) -> Option<&PrefillInProgress> {
         let wait_until = now.plus_ms(prefill_ms * MAX_WAIT_PREFILLS);
         self.of(part, now).filter(|reading| reading.done_by <= wait_until)
     }
 
     /// Returns the current prefill of a part, if there is one.
-    pub fn of(&self, part: u64, now: UnixMs) -> Option<&Reading> {
+    pub fn of(&self, part: u64, now: UnixMs) -> Option<&PrefillInProgress> {
         self.by_part.get(&part).filter(|reading| !reading.done_by.has_passed_at(now))
     }
 }
--- a/crates/bilberry-core/src/routing.rs
+++ b/crates/bilberry-core/src/routing.rs
@@ -19,14 +19,14 @@
 
 /// A data centre within a region.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Place {
+pub struct DataCentre {
     /// The region, such as `tw-north`.
     pub region: Name,
     /// The data centre, such as `hall-a`.
     pub hall: Name,
 }
 
-impl Place {
+impl DataCentre {
     /// Parses `region/hall`.
     pub fn parse(text: &str) -> Option<Self> {
         let (region, hall) = text.split_once('/')?;
@@ -64,7 +64,7 @@
 
 /// An upstream to probe.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
-pub struct Seat {
+pub struct ProbeTarget {
     /// The index of the upstream.
     pub at: usize,
     /// Whether it was chosen by rank, so that every entry probes it for this prompt.
@@ -112,11 +112,11 @@
     per_depth: usize,
     limit: usize,
     random: u64,
-) -> Vec<Seat> {
-    let mut seats: Vec<Seat> = Vec::with_capacity(limit);
+) -> Vec<ProbeTarget> {
+    let mut seats: Vec<ProbeTarget> = Vec::with_capacity(limit);
     let mut add = |at: usize, is_ranked: bool, max_len: usize| {
         if seats.len() < max_len && seats.iter().all(|seat| seat.at != at) {
-            seats.push(Seat { at, is_ranked });
+            seats.push(ProbeTarget { at, is_ranked });
         }
     };
     // One probe is reserved for the least loaded upstream, so that an idle upstream is
@@ -178,7 +178,7 @@
 
 /// The configured weighting of recomputation against waiting.
 #[derive(Debug, Copy, Clone, PartialEq)]
-pub struct Weighing {
+pub struct ScoreWeights {
     /// The cost of a millisecond of recomputation, in milliseconds of waiting.
     ///
     /// A weight of one minimizes the caller's own time to first token. A higher weight
@@ -186,7 +186,7 @@
     pub recompute_weight: f64,
 }
 
-impl Weighing {
+impl ScoreWeights {
     /// Returns the score of an upstream; lower is better.
     pub fn score(self, view: &ProbeView, prompt_blocks: u64) -> f64 {
         let compute_factor = if view.is_ranked { 1.0 } else { UNRANKED_COMPUTE_FACTOR };
@@ -199,7 +199,7 @@
 pub fn choose(
     views: &[ProbeView],
     prompt_blocks: u64,
-    weighing: Weighing,
+    weighing: ScoreWeights,
 ) -> Option<usize> {
     let scores = views.iter().map(|view| weighing.score(view, prompt_blocks));
     scores.enumerate().min_by(|a, b| a.1.total_cmp(&b.1)).map(|(at, _)| at)
--- a/crates/bilberry-core/src/run_end.rs
+++ b/crates/bilberry-core/src/run_end.rs
@@ -15,13 +15,13 @@
 
 /// The result of a connection attempt to a host.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
-pub enum Reach {
+pub enum ConnectOutcome {
     /// The host accepted the connection, so it is up, even if its processes are paused.
-    Taken,
+    Accepted,
     /// The host refused the connection, so nothing listens on the port.
     Refused,
     /// The host did not respond within the connection timeout.
-    Silent,
+    TimedOut,
 }
 
 /// The engine's state as reported by the sidecar on its host.
@@ -37,26 +37,26 @@
 
 /// Why a run is considered ended at its engine.
 #[derive(Debug, Copy, Clone, PartialEq, Eq, Hash)]
-pub enum RunEnd {
+pub enum RunEndReason {
     /// The engine stopped the run on request.
     Stopped,
     /// The engine does not know the run.
-    Unknown,
+    NoSuchRun,
     /// The engine has restarted since the run began.
-    StartedAnew,
+    Restarted,
     /// Nothing listens on the engine's port.
     Refused,
     /// The engine's host is unreachable.
     Unreachable,
 }
 
-impl RunEnd {
+impl RunEndReason {
     /// Returns the description used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Stopped => "stopped",
-            Self::Unknown => "no such run",
-            Self::StartedAnew => "started again",
+            Self::NoSuchRun => "no such run",
+            Self::Restarted => "started again",
             Self::Refused => "refused",
             Self::Unreachable => "out of reach",
         }
@@ -65,11 +65,11 @@
 
 /// The connection attempts to the engine of an unresponsive run.
 #[derive(Debug, Clone, Default)]
-pub struct Reaching {
+pub struct ConnectAttempts {
     consecutive_silent: u32,
 }
 
-impl Reaching {
+impl ConnectAttempts {
     /// Records an attempt; returns the reason if it proves that the run has ended.
     ///
     /// While the stream's connection is open, its host acknowledges packets and is up,
@@ -77,24 +77,24 @@
     /// sidecar that reports its engine as up shows the same.
     pub fn note(
         &mut self,
-        reach: Reach,
+        reach: ConnectOutcome,
         sidecar: SidecarStatus,
         stream_is_open: bool,
-    ) -> Option<RunEnd> {
+    ) -> Option<RunEndReason> {
         self.consecutive_silent = match reach {
-            Reach::Silent => self.consecutive_silent + 1,
-            Reach::Taken | Reach::Refused => 0,
+            ConnectOutcome::TimedOut => self.consecutive_silent + 1,
+            ConnectOutcome::Accepted | ConnectOutcome::Refused => 0,
         };
         match reach {
             _ if stream_is_open => None,
-            Reach::Refused => Some(RunEnd::Refused),
-            Reach::Silent
+            ConnectOutcome::Refused => Some(RunEndReason::Refused),
+            ConnectOutcome::TimedOut
                 if self.consecutive_silent >= UNREACHABLE_AFTER_SILENT
                     && sidecar != SidecarStatus::Up =>
             {
-                Some(RunEnd::Unreachable)
+                Some(RunEndReason::Unreachable)
             }
-            Reach::Silent | Reach::Taken => None,
+            ConnectOutcome::TimedOut | ConnectOutcome::Accepted => None,
         }
     }
 }
--- a/crates/bilberry-core/src/shared_budget.rs
+++ b/crates/bilberry-core/src/shared_retry_budget.rs
@@ -27,25 +27,25 @@
 
 /// The purpose of a retry.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryKind {
     /// Resends a request whose caller has received nothing.
-    Anew,
+    Resend,
     /// Resumes a stream that its caller has started to receive.
-    GoOn,
+    Resume,
 }
 
-impl Repeat {
+impl RetryKind {
     fn fraction(self) -> f64 {
         match self {
-            Self::Anew => RESEND_FRACTION,
-            Self::GoOn => USABLE_FRACTION,
+            Self::Resend => RESEND_FRACTION,
+            Self::Resume => USABLE_FRACTION,
         }
     }
 }
 
 /// The retry limits of one service, over all entries.
 #[derive(Debug, Copy, Clone, PartialEq)]
-pub struct BudgetTerms {
+pub struct BudgetLimits {
     /// Retries allowed per request.
     pub ratio: f64,
     /// Additional retries allowed per window, over all entries.
@@ -60,8 +60,8 @@
 /// requests, and the shares add up to the ratio of all requests. The fixed part is
 /// divided by the number of entries.
 #[derive(Debug)]
-pub struct SharedBudget {
-    terms: BudgetTerms,
+pub struct SharedRetryBudget {
+    terms: BudgetLimits,
     buckets: VecDeque<Bucket>,
 }
 
@@ -72,9 +72,9 @@
     retries: u64,
 }
 
-impl SharedBudget {
+impl SharedRetryBudget {
     /// Creates an unspent budget.
-    pub fn new(terms: BudgetTerms) -> Self {
+    pub fn new(terms: BudgetLimits) -> Self {
         Self { terms, buckets: VecDeque::new() }
     }
 
@@ -84,7 +84,12 @@
     }
 
     /// Spends one retry; returns false if the budget is exhausted.
-    pub fn spend(&mut self, now: UnixMs, entries: Option<usize>, repeat: Repeat) -> bool {
+    pub fn spend(
+        &mut self,
+        now: UnixMs,
+        entries: Option<usize>,
+        repeat: RetryKind,
+    ) -> bool {
         self.bucket(now);
         // For a bucket that is partly outside the window, only retries count, not
         // requests, so that no window exceeds the budget.
--- a/crates/bilberry-core/src/shared_watch.rs
+++ b/crates/bilberry-core/src/shared_watch.rs
@@ -11,7 +11,7 @@
 
 /// The result of one watch call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Brought<T> {
+pub struct WatchResult<T> {
     /// The position after which changes were requested.
     pub from: StorePosition,
     /// The position up to which all changes were reported.
@@ -24,18 +24,18 @@
 
 /// A request to the hub for the changes after a position.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
-pub struct WatchQuestion {
+pub struct WatchRequest {
     /// The position up to which the requester knows all changes.
     pub position: StorePosition,
     /// When the request arrived at the hub.
     pub arrived_at: UnixMs,
 }
 
-/// The hub's reply to a [`WatchQuestion`].
+/// The hub's reply to a [`WatchRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchReply<T> {
     /// There were changes.
-    News {
+    Changes {
         /// The position for the next request.
         position: StorePosition,
         /// The changes.
@@ -45,17 +45,17 @@
         known_ms: i64,
     },
     /// There were no changes.
-    Quiet {
+    Unchanged {
         /// The position for the next request.
         position: StorePosition,
         /// The time at which the store had no changes, relative to the request's arrival.
         known_ms: i64,
     },
     /// The requester must call the store itself once.
-    OutOfStep,
+    OutOfSync,
 }
 
-impl<T> Brought<T> {
+impl<T> WatchResult<T> {
     /// Returns whether the call began and ended in the same era.
     ///
     /// Otherwise the response only shows that another era has begun.
@@ -64,7 +64,7 @@
     }
 }
 
-impl WatchQuestion {
+impl WatchRequest {
     /// Returns whether the requester lacks changes that were reported before its request.
     ///
     /// `quiet_from` is the position of the last reported change. The hub keeps only the
@@ -90,22 +90,22 @@
     /// Changes are not reported across eras, because the same revision number denotes
     /// different changes in different eras. A requester in a later era waits for a later
     /// call; one in an earlier era learns of the new era from the store.
-    pub fn hear<T: Clone>(&self, brought: &Brought<T>) -> Option<WatchReply<T>> {
+    pub fn hear<T: Clone>(&self, brought: &WatchResult<T>) -> Option<WatchReply<T>> {
         let known_ms = signed_ms(brought.known_at, self.arrived_at);
         let position = brought.to;
         match &brought.news {
             _ if self.position > position => None,
-            _ if !brought.is_of_one_era() => Some(WatchReply::OutOfStep),
-            _ if self.position.era != position.era => Some(WatchReply::OutOfStep),
+            _ if !brought.is_of_one_era() => Some(WatchReply::OutOfSync),
+            _ if self.position.era != position.era => Some(WatchReply::OutOfSync),
             Some(_) if self.position == position => None,
             Some(news) if self.position <= brought.from => {
-                Some(WatchReply::News { position, news: news.clone(), known_ms })
+                Some(WatchReply::Changes { position, news: news.clone(), known_ms })
             }
-            Some(_) => Some(WatchReply::OutOfStep),
+            Some(_) => Some(WatchReply::OutOfSync),
             // A time before the request's arrival would confirm less than a call by the
             // requester itself.
             None if known_ms < 0 => None,
-            None => Some(WatchReply::Quiet { position, known_ms }),
+            None => Some(WatchReply::Unchanged { position, known_ms }),
         }
     }
 }
--- a/crates/bilberry-core/src/store_position.rs
+++ b/crates/bilberry-core/src/store_position.rs
@@ -29,18 +29,18 @@
 
 /// How the era of a response compares with the known era.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
-pub enum EraTold {
+pub enum EraOrder {
     /// The response belongs to the known era, or its era is unknown.
-    Present,
+    Current,
     /// The response is the first of a later era, so a full list is required.
-    Entered(EraEntered),
+    Entered(EraChange),
     /// The response is stale and belongs to an earlier era.
-    Over,
+    Past,
 }
 
 /// A change of era, as detected by one follower.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
-pub struct EraEntered {
+pub struct EraChange {
     /// The era that has begun.
     pub era: Option<u64>,
     /// The discarded position; `None` if nothing had been read yet.
@@ -58,17 +58,17 @@
     /// Updates the era from a response received at `now`.
     ///
     /// A response without an era is assumed to belong to the known era.
-    pub fn hear(&mut self, era: Option<u64>, now: UnixMs) -> EraTold {
+    pub fn hear(&mut self, era: Option<u64>, now: UnixMs) -> EraOrder {
         let known_era = self.known.and_then(|known| known.era);
         if era.is_none() || era == known_era {
-            return EraTold::Present;
+            return EraOrder::Current;
         }
         if era < known_era {
-            return EraTold::Over;
+            return EraOrder::Past;
         }
         let left = self.known.replace(StorePosition { era, revision: 0 });
         self.needs_list = true;
-        EraTold::Entered(EraEntered { era, left, noticed_at: now })
+        EraOrder::Entered(EraChange { era, left, noticed_at: now })
     }
 
     /// Records that all changes up to a revision of the current era are known.
--- a/crates/bilberry-core/src/departures.rs
+++ b/crates/bilberry-core/src/tombstones.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 
 use crate::Incarnation;
+use crate::IncarnationOrder;
 use crate::Name;
-use crate::Told;
 use crate::UnixMs;
 
 /// How long a tombstone is kept; backups are only some seconds old.
@@ -24,7 +24,7 @@
 
 /// The servers that deregistered recently.
 #[derive(Debug)]
-pub struct Departures {
+pub struct Tombstones {
     expiry_ms: u64,
     tombstones: BTreeMap<Name, Tombstone>,
     /// When the restored store has expired all entries of deregistered servers.
@@ -38,7 +38,7 @@
     incarnation: Option<Incarnation>,
 }
 
-impl Departures {
+impl Tombstones {
     /// Creates an empty set for servers that renew their entries every `heartbeat_ms`.
     pub fn new(heartbeat_ms: u64) -> Self {
         Self {
@@ -84,7 +84,9 @@
         let Some(tombstone) = self.tombstones.get(id) else { return false };
         let order = Incarnation::compare(tombstone.incarnation, incarnation);
         let is_retained = now.ms_since(tombstone.at) < TOMBSTONE_RETENTION_MS;
-        is_retained && order != Told::Newer && !self.doubt_until.has_passed_at(now)
+        is_retained
+            && order != IncarnationOrder::Newer
+            && !self.doubt_until.has_passed_at(now)
     }
 
     /// Returns when entries of deregistered servers are no longer doubtful.
--- a/crates/bilberry-core/tests/crash_ledger.rs
+++ b/crates/bilberry-core/tests/crash_ledger.rs
@@ -1,10 +1,10 @@
 //! Attribution of server crashes to the requests that were running.
 
+use bilberry_core::CompletedRequests;
 use bilberry_core::CrashLedger;
 use bilberry_core::CrashReport;
 use bilberry_core::RequestKey;
-use bilberry_core::ServedRequests;
-use bilberry_core::Standing;
+use bilberry_core::RequestStatus;
 use bilberry_core::UnixMs;
 use proptest::collection::vec;
 use proptest::prelude::any;
@@ -49,7 +49,7 @@
 }
 
 fn is_quarantined(ledger: &CrashLedger, request: u64, now: UnixMs) -> bool {
-    matches!(ledger.standing(RequestKey(request), now), Standing::Quarantined { .. })
+    matches!(ledger.standing(RequestKey(request), now), RequestStatus::Quarantined { .. })
 }
 
 #[test]
@@ -60,8 +60,8 @@
         ledger.standing(RequestKey(1), NOW)
     });
     let standings: Vec<_> = standings.collect();
-    assert_eq!(standings[..2], [Standing::Good, Standing::Suspect]);
-    assert!(matches!(standings[2], Standing::Quarantined { until } if until > NOW));
+    assert_eq!(standings[..2], [RequestStatus::Good, RequestStatus::Suspect]);
+    assert!(matches!(standings[2], RequestStatus::Quarantined { until } if until > NOW));
 }
 
 #[test]
@@ -75,7 +75,7 @@
         ledger.merge(crash(unrelated, server), NOW);
     }
     assert!(is_quarantined(&ledger, crashing, NOW));
-    assert_eq!(ledger.standing(RequestKey(unrelated), NOW), Standing::Suspect);
+    assert_eq!(ledger.standing(RequestKey(unrelated), NOW), RequestStatus::Suspect);
 }
 
 #[test]
@@ -89,7 +89,7 @@
     });
     let ledger = ledger(&crashes.collect::<Vec<_>>());
     assert!(is_quarantined(&ledger, crashing, NOW));
-    assert_eq!(ledger.standing(RequestKey(unrelated), NOW), Standing::Suspect);
+    assert_eq!(ledger.standing(RequestKey(unrelated), NOW), RequestStatus::Suspect);
 }
 
 #[test]
@@ -116,14 +116,14 @@
 #[test]
 fn repeated_reports_of_one_crash_count_once() {
     let ledger = ledger(&[crash(1, 7), crash(1, 7), crash(1, 7)]);
-    assert_eq!(ledger.standing(RequestKey(1), NOW), Standing::Good);
+    assert_eq!(ledger.standing(RequestKey(1), NOW), RequestStatus::Good);
 }
 
 #[test]
 fn a_completed_request_is_not_blamed_for_earlier_crashes() {
     let mut ledger = ledger(&[crash(1, 1), crash(1, 2), crash(1, 3)]);
     assert_eq!(ledger.void_crashes(RequestKey(1)).len(), 3);
-    assert_eq!(ledger.standing(RequestKey(1), NOW), Standing::Good);
+    assert_eq!(ledger.standing(RequestKey(1), NOW), RequestStatus::Good);
     assert!(!ledger.merge(crash(1, 2), NOW), "a late report of a void crash");
     (4..7).for_each(|server| {
         ledger.merge(crash(1, server), NOW);
@@ -134,10 +134,10 @@
 #[test]
 fn one_more_crash_after_a_quarantine_rejects_the_request_again() {
     let mut ledger = ledger(&[crash(1, 1), crash(1, 2), crash(1, 3)]);
-    let Standing::Quarantined { until } = ledger.standing(RequestKey(1), NOW) else {
+    let RequestStatus::Quarantined { until } = ledger.standing(RequestKey(1), NOW) else {
         panic!("the request should be quarantined");
     };
-    assert_eq!(ledger.standing(RequestKey(1), until), Standing::Suspect);
+    assert_eq!(ledger.standing(RequestKey(1), until), RequestStatus::Suspect);
     ledger.merge(crash(1, 4), until);
     assert!(is_quarantined(&ledger, 1, until));
 }
@@ -156,16 +156,16 @@
 fn crashes_expire_an_hour_after_the_last() {
     let mut ledger = ledger(&[crash(1, 1), crash(1, 2), crash(1, 3)]);
     let later = NOW.plus_ms(3_600_000);
-    assert_eq!(ledger.standing(RequestKey(1), later), Standing::Good);
+    assert_eq!(ledger.standing(RequestKey(1), later), RequestStatus::Good);
     assert!(ledger.reports(later).is_empty());
     assert!(ledger.reports_on_suspects(later).is_empty());
     ledger.merge(crash(1, 4), later);
-    assert_eq!(ledger.standing(RequestKey(1), later), Standing::Good);
+    assert_eq!(ledger.standing(RequestKey(1), later), RequestStatus::Good);
 }
 
 #[test]
 fn a_request_counts_as_served_for_ten_seconds() {
-    let mut served = ServedRequests::default();
+    let mut served = CompletedRequests::default();
     served.record(RequestKey(1), NOW);
     served.record(RequestKey(2), NOW.plus_ms(9_000));
     served.record(RequestKey(3), NOW.plus_ms(11_000));
--- a/crates/bilberry-core/tests/crash_ledger_beside.rs
+++ b/crates/bilberry-core/tests/crash_ledger_beside.rs
@@ -4,11 +4,11 @@
 //! Guards against quarantining the repeated request, which is interrupted by the same
 //! crashes.
 
+use bilberry_core::CompletedRequests;
 use bilberry_core::CrashLedger;
 use bilberry_core::CrashReport;
 use bilberry_core::RequestKey;
-use bilberry_core::ServedRequests;
-use bilberry_core::Standing;
+use bilberry_core::RequestStatus;
 use bilberry_core::UnixMs;
 use proptest::prelude::ProptestConfig;
 use proptest::prelude::any;
@@ -65,7 +65,7 @@
 #[derive(Debug, Default)]
 struct Entry {
     ledger: CrashLedger,
-    served: ServedRequests,
+    served: CompletedRequests,
 }
 
 struct Model {
@@ -173,7 +173,7 @@
             }
             return;
         }
-        if matches!(standing, Standing::Quarantined { .. }) {
+        if matches!(standing, RequestStatus::Quarantined { .. }) {
             self.rejected += usize::from(caller.is_some());
             self.idle_callers.extend(caller);
             return;
@@ -197,12 +197,12 @@
         self.servers[server].runs.push(run);
     }
 
-    fn choose_server(&mut self, standing: Standing) -> Option<usize> {
+    fn choose_server(&mut self, standing: RequestStatus) -> Option<usize> {
         let up: Vec<usize> = (0..SERVERS)
             .filter(|at| self.servers[*at].restarted_at_ms <= self.now_ms)
             .collect();
         match standing {
-            Standing::Suspect => {
+            RequestStatus::Suspect => {
                 up.into_iter().min_by_key(|at| self.servers[*at].runs.len())
             }
             _ => up.choose(&mut self.random).copied(),
--- a/crates/bilberry-core/tests/crash_ledger_model.rs
+++ b/crates/bilberry-core/tests/crash_ledger_model.rs
@@ -3,7 +3,7 @@
 use bilberry_core::CrashLedger;
 use bilberry_core::CrashReport;
 use bilberry_core::RequestKey;
-use bilberry_core::Standing;
+use bilberry_core::RequestStatus;
 use bilberry_core::UnixMs;
 use proptest::prelude::ProptestConfig;
 use proptest::prelude::any;
@@ -118,7 +118,7 @@
         let now = self.now();
         let Entry { ledger, started_at_ms, incarnation } = &self.entries[entry];
         let incarnation = *incarnation;
-        if matches!(ledger.standing(CRASHING, now), Standing::Quarantined { .. }) {
+        if matches!(ledger.standing(CRASHING, now), RequestStatus::Quarantined { .. }) {
             return;
         }
         let third_ms = self.crashes_ms.get(2).copied().unwrap_or(u64::MAX);
--- a/crates/bilberry-core/tests/decisions.rs
+++ b/crates/bilberry-core/tests/decisions.rs
@@ -14,16 +14,16 @@
 use bilberry_core::IndexState;
 use bilberry_core::Lease;
 use bilberry_core::LeaseStep;
+use bilberry_core::LimitExceeded;
 use bilberry_core::Name;
-use bilberry_core::Overrun;
+use bilberry_core::ProbeTarget;
 use bilberry_core::ProbeView;
 use bilberry_core::RepeatVerdict;
 use bilberry_core::RetryBudget;
 use bilberry_core::Scope;
-use bilberry_core::Seat;
+use bilberry_core::ScoreWeights;
 use bilberry_core::Slots;
 use bilberry_core::UnixMs;
-use bilberry_core::Weighing;
 use bilberry_core::candidates;
 use bilberry_core::choose;
 use bilberry_core::patience_ms;
@@ -107,7 +107,7 @@
     assert_eq!(index.apply(event(1, 9, 99)), IndexState::Synced);
     assert_eq!(index.len(), 2);
     assert_eq!(index.apply(event(1, 10, 9)), IndexState::Synced);
-    assert_eq!(index.apply(event(1, 12, 10)), IndexState::Unsure);
+    assert_eq!(index.apply(event(1, 12, 10)), IndexState::Incomplete);
     assert_eq!(index.apply(event(2, 0, 11)), IndexState::Synced);
     assert_eq!(index.len(), 1);
 }
@@ -179,14 +179,14 @@
     let now = UnixMs(1_000);
     assert_eq!(limits.enter(&name, allowance, now), Ok(()));
     assert_eq!(limits.enter(&name, allowance, now), Ok(()));
-    assert_eq!(limits.enter(&name, allowance, now), Err(Overrun::Concurrency));
+    assert_eq!(limits.enter(&name, allowance, now), Err(LimitExceeded::Concurrency));
     for _ in 0..8 {
         limits.leave(&name);
         limits.enter(&name, allowance, now).expect("the bucket holds ten tokens");
     }
     limits.leave(&name);
     let refused = limits.enter(&name, allowance, now);
-    assert_eq!(refused, Err(Overrun::Rate { wait_ms: 100 }));
+    assert_eq!(refused, Err(LimitExceeded::Rate { wait_ms: 100 }));
     assert_eq!(limits.enter(&name, allowance, UnixMs(1_100)), Ok(()));
 }
 
@@ -252,12 +252,12 @@
     // random one appeared slightly faster and got the prompt, the next entry would
     // probe a different random engine, miss the cached prefix and recompute it.
     let upstreams = upstreams(6);
-    let weighing = Weighing { recompute_weight: 1.5 };
+    let weighing = ScoreWeights { recompute_weight: 1.5 };
     for prompt in 0..100 {
         let chain = Chain::new(&format!("salt {prompt}"), &"x".repeat(15 * BLOCK_BYTES));
         let probed_by = |entry| candidates(&chain, &upstreams, 1, 5, entry);
         for fastest in 0..upstreams.len() {
-            let view = |seat: &Seat| ProbeView {
+            let view = |seat: &ProbeTarget| ProbeView {
                 upstream: upstreams[seat.at].upstream.clone(),
                 held_blocks: 0,
                 wait_ms: 0.0,
@@ -271,7 +271,8 @@
                 let chosen =
                     choose(&views, 15, weighing).expect("some upstreams are probed");
                 let holder = probed[chosen].at;
-                let is_probed = |seats: Vec<Seat>| seats.iter().any(|s| s.at == holder);
+                let is_probed =
+                    |seats: Vec<ProbeTarget>| seats.iter().any(|s| s.at == holder);
                 let all_probe_it = (0..12).all(|other| is_probed(probed_by(other)));
                 assert!(all_probe_it, "prompt {prompt} of {entry} is missed at {holder}");
             }
@@ -292,7 +293,7 @@
         distance_ms: 0.0,
         is_ranked,
     };
-    let weighing = Weighing { recompute_weight: 1.0 };
+    let weighing = ScoreWeights { recompute_weight: 1.0 };
     // 15 blocks of 64 tokens at 50 us take 48 ms.
     let chosen = |ranked, other| choose(&[ranked, other], 15, weighing);
     assert_eq!(chosen(view(50.0, 0, true), view(0.0, 0, false)), Some(1));
--- a/crates/bilberry-core/tests/forwarding.rs
+++ b/crates/bilberry-core/tests/forwarding.rs
@@ -1,44 +1,44 @@
 //! Tests of the decisions of a forwarding entry under their intended loads.
 
+use bilberry_core::AnnouncedWeights;
 use bilberry_core::BootClock;
-use bilberry_core::BudgetTerms;
+use bilberry_core::BudgetLimits;
 use bilberry_core::Clock;
-use bilberry_core::Demand;
 use bilberry_core::EntryCount;
 use bilberry_core::EventSplitter;
 use bilberry_core::Freshness;
-use bilberry_core::LinkShare;
-use bilberry_core::NamedWeights;
-use bilberry_core::Offer;
+use bilberry_core::LinkBudget;
 use bilberry_core::Outage;
 use bilberry_core::PeerCopy;
-use bilberry_core::Repeat;
+use bilberry_core::PlacementCandidate;
+use bilberry_core::PlacementRequest;
+use bilberry_core::RetryKind;
 use bilberry_core::Rollout;
 use bilberry_core::RolloutPlace;
-use bilberry_core::SharedBudget;
+use bilberry_core::SharedRetryBudget;
 use bilberry_core::Source;
 use bilberry_core::Transfer;
 use bilberry_core::UnixMs;
-use bilberry_core::Weights;
+use bilberry_core::WeightsStatus;
 use bilberry_core::choose_source;
 use bilberry_core::may_begin_load;
 use bilberry_core::part_key;
 use bilberry_core::place;
 use proptest::prelude::*;
 
-fn offer(seed: u64) -> Offer {
-    Offer {
+fn offer(seed: u64) -> PlacementCandidate {
+    PlacementCandidate {
         seed,
         usable: true,
         same_place: true,
         free_slots: 40,
         free_tokens: 100_000,
-        ..Offer::default()
+        ..PlacementCandidate::default()
     }
 }
 
-fn demand() -> Demand {
-    Demand {
+fn demand() -> PlacementRequest {
+    PlacementRequest {
         affinity: 77,
         shared_tokens: 6_300,
         own_tokens: 2_900,
@@ -61,25 +61,27 @@
 
 #[test]
 fn entries_agree_on_the_server_for_an_uncached_prompt() {
-    let offers: Vec<Offer> = (0..9).map(offer).collect();
-    let mut reversed: Vec<Offer> = offers.clone();
+    let offers: Vec<PlacementCandidate> = (0..9).map(offer).collect();
+    let mut reversed: Vec<PlacementCandidate> = offers.clone();
     reversed.reverse();
-    let seed = |offers: &[Offer]| place(&demand(), offers).map(|at| offers[at].seed);
+    let seed = |offers: &[PlacementCandidate]| {
+        place(&demand(), offers).map(|at| offers[at].seed)
+    };
     assert_eq!(seed(&offers), seed(&reversed));
     // Different prompts are spread over all servers.
     let chosen: std::collections::BTreeSet<_> = (0..200)
-        .filter_map(|affinity| place(&Demand { affinity, ..demand() }, &offers))
+        .filter_map(|affinity| place(&PlacementRequest { affinity, ..demand() }, &offers))
         .collect();
     assert_eq!(chosen.len(), 9);
 }
 
 #[test]
 fn a_lost_server_moves_only_its_own_prompts() {
-    let offers: Vec<Offer> = (0..9).map(offer).collect();
+    let offers: Vec<PlacementCandidate> = (0..9).map(offer).collect();
     let mut fewer = offers.clone();
     fewer[4].usable = false;
     for affinity in 0..200 {
-        let demand = Demand { affinity, ..demand() };
+        let demand = PlacementRequest { affinity, ..demand() };
         match place(&demand, &offers) {
             Some(4) => assert_ne!(place(&demand, &fewer), Some(4)),
             server => assert_eq!(place(&demand, &fewer), server),
@@ -94,8 +96,8 @@
     // late one nearly all, so servers with the newest weights win only while they are not
     // much busier.
     let mut offers = vec![offer(1), offer(2), offer(3)];
-    offers[0].weights = Weights::Penalized;
-    offers[1].weights = Weights::Penalized;
+    offers[0].weights = WeightsStatus::Penalized;
+    offers[1].weights = WeightsStatus::Penalized;
     assert_eq!(place(&demand(), &offers), Some(2));
     offers[2].running = 10;
     offers[2].pending_tokens = 4_000;
@@ -114,9 +116,9 @@
     offers[0].held_tokens = 6_300;
     offers[0].loads_in_ms = Some(200);
     offers[1].loads_in_ms = Some(700);
-    let short = Demand { answer_ms: 120, ..demand() };
+    let short = PlacementRequest { answer_ms: 120, ..demand() };
     assert_eq!(place(&short, &offers), Some(0));
-    let long = Demand { answer_ms: 1_000, ..demand() };
+    let long = PlacementRequest { answer_ms: 1_000, ..demand() };
     assert_eq!(place(&long, &offers), Some(2));
     offers[2].pending_tokens = 20_000;
     assert_eq!(place(&long, &offers), Some(1));
@@ -130,15 +132,15 @@
     // A server that fails to load new weights gets no more work, even if no other server
     // has capacity, because its answers have no value.
     let mut offers = vec![offer(1), offer(2)];
-    offers[0].weights = Weights::Barred;
+    offers[0].weights = WeightsStatus::Excluded;
     offers[1].free_slots = 0;
     assert_eq!(place(&demand(), &offers), None);
     let ages = [0, 1_200, 1_400, 5_900, 6_100];
-    let at_ages = ages.map(|age_ms| Weights::lacking(Some(age_ms), Some(8_000)));
-    use Weights::*;
-    assert_eq!(at_ages, [Fine, Fine, Penalized, Penalized, Barred]);
-    assert_eq!(Weights::lacking(Some(60_000), None), Penalized);
-    assert_eq!(Weights::lacking(None, Some(0)), Fine);
+    let at_ages = ages.map(|age_ms| WeightsStatus::lacking(Some(age_ms), Some(8_000)));
+    use WeightsStatus::*;
+    assert_eq!(at_ages, [Acceptable, Acceptable, Penalized, Penalized, Excluded]);
+    assert_eq!(WeightsStatus::lacking(Some(60_000), None), Penalized);
+    assert_eq!(WeightsStatus::lacking(None, Some(0)), Acceptable);
 }
 
 #[test]
@@ -180,7 +182,7 @@
     let prompt = Transfer { tokens: 5_000, same_place: false };
     let mut moved_tokens = 0;
     for _ in 0..4 {
-        let mut share = LinkShare::default();
+        let mut share = LinkBudget::default();
         for tick in 0..600 {
             let now = UnixMs(1_000_000 + tick * 1_000 / 60);
             if share.take(now, prompt, 234_000.0, Some(4)) {
@@ -191,7 +193,7 @@
     let ten_s = 2_340_000.0;
     assert!((0.9..1.15).contains(&(moved_tokens as f64 / ten_s)), "{moved_tokens}");
     // Empty transfers are never refused, nor is the first transfer after an idle period.
-    let mut share = LinkShare::default();
+    let mut share = LinkBudget::default();
     let nothing = Transfer { tokens: 0, same_place: true };
     assert!(share.take(UnixMs(5_000), prompt, 1_000.0, None));
     assert!(!share.take(UnixMs(5_001), prompt, 1_000.0, None));
@@ -236,7 +238,7 @@
     assert_eq!(distinct.len(), keys.len());
 }
 
-const TERMS: BudgetTerms = BudgetTerms { ratio: 0.2, slack: 50.0, window_ms: 10_000 };
+const TERMS: BudgetLimits = BudgetLimits { ratio: 0.2, slack: 50.0, window_ms: 10_000 };
 
 proptest! {
     /// However requests are distributed over entries, their combined retries stay within
@@ -246,8 +248,8 @@
         entries in 1_usize..40,
         arrivals in proptest::collection::vec((0_usize..40, 0_u64..40), 1..600),
     ) {
-        let mut budgets: Vec<SharedBudget> =
-            (0..entries).map(|_| SharedBudget::new(TERMS)).collect();
+        let mut budgets: Vec<SharedRetryBudget> =
+            (0..entries).map(|_| SharedRetryBudget::new(TERMS)).collect();
         let mut now = UnixMs(1_000_000);
         let mut log = Vec::new();
         for (entry, gap_ms) in arrivals {
@@ -255,7 +257,7 @@
             let budget = &mut budgets[entry % entries];
             budget.count_request(now);
             let mut repeats = 0;
-            while repeats < 3 && budget.spend(now, Some(entries), Repeat::GoOn) {
+            while repeats < 3 && budget.spend(now, Some(entries), RetryKind::Resume) {
                 repeats += 1;
             }
             log.push((now, repeats));
@@ -296,12 +298,12 @@
     // Many entries restart together under full load. Each would use the whole fixed part
     // of the budget if it assumed that it is the only entry.
     let spent = |entries, repeat| {
-        let mut budget = SharedBudget::new(TERMS);
+        let mut budget = SharedRetryBudget::new(TERMS);
         (0..100).filter(|_| budget.spend(UnixMs(5_000), entries, repeat)).count()
     };
-    assert_eq!(spent(Some(1), Repeat::GoOn), 45);
-    assert_eq!(spent(Some(1), Repeat::Anew), 30);
-    assert!(spent(None, Repeat::GoOn) <= 3);
+    assert_eq!(spent(Some(1), RetryKind::Resume), 45);
+    assert_eq!(spent(Some(1), RetryKind::Resend), 30);
+    assert!(spent(None, RetryKind::Resume) <= 3);
 }
 
 #[test]
@@ -310,18 +312,18 @@
     // ten streams of this entry. After the first crash, every request needs a second
     // attempt because engines are full. Callers affected by the later crashes lost their
     // streams, because requests that had not started had used up the retries.
-    let terms = BudgetTerms { slack: 20.0, ..TERMS };
-    let mut budget = SharedBudget::new(terms);
+    let terms = BudgetLimits { slack: 20.0, ..TERMS };
+    let mut budget = SharedRetryBudget::new(terms);
     let mut resumed = 0;
     for at_ms in (0..11_100).step_by(100) {
         let now = UnixMs(1_000_000 + at_ms);
         budget.count_request(now);
         if matches!(at_ms, 4_000 | 7_500 | 11_000) {
-            let spend = |_: &i32| budget.spend(now, Some(1), Repeat::GoOn);
+            let spend = |_: &i32| budget.spend(now, Some(1), RetryKind::Resume);
             resumed += (0..10).filter(spend).count();
         }
         if at_ms >= 4_000 {
-            budget.spend(now, Some(1), Repeat::Anew);
+            budget.spend(now, Some(1), RetryKind::Resend);
         }
     }
     assert!(resumed >= 18, "{resumed} of 30 streams resumed");
@@ -410,7 +412,7 @@
 
 #[test]
 fn a_server_is_outdated_since_the_first_announcement_it_missed() {
-    let mut named = NamedWeights::default();
+    let mut named = AnnouncedWeights::default();
     assert_eq!((named.newest(), named.lacking_since(0)), (None, None));
     for (version, at) in [(7, 100), (8, 4_500), (10, 13_300)] {
         assert!(named.note(version, UnixMs(at)));
@@ -433,7 +435,7 @@
     // Weights are announced five times a second for about 15 s. A server with none of
     // them has been outdated since the first announcement, and a version older than all
     // remembered ones is not recorded again as new.
-    let mut named = NamedWeights::default();
+    let mut named = AnnouncedWeights::default();
     for version in 10..90 {
         assert!(named.note(version, UnixMs(version * 200)));
     }
@@ -447,17 +449,17 @@
     // New weights are announced every 4.4 s and no request may start on older ones after
     // 8 s. A server that has missed an announcement is excluded in time, however many
     // announcements follow; a server with the second newest weights is not excluded.
-    let mut named = NamedWeights::default();
+    let mut named = AnnouncedWeights::default();
     for version in 8..=10 {
         named.note(version, UnixMs(58_523 + (version - 8) * 4_400));
     }
     let now = UnixMs(67_842);
     let judged = [7, 8, 9, 10].map(|version| {
         let lacking_ms = named.lacking_since(version).map(|since| now.ms_since(since));
-        Weights::lacking(lacking_ms, Some(8_000))
+        WeightsStatus::lacking(lacking_ms, Some(8_000))
     });
-    use Weights::*;
-    assert_eq!(judged, [Barred, Penalized, Fine, Fine]);
+    use WeightsStatus::*;
+    assert_eq!(judged, [Excluded, Penalized, Acceptable, Acceptable]);
 }
 
 proptest! {
@@ -465,7 +467,7 @@
     fn older_versions_have_been_outdated_for_longer(
         heard in prop::collection::vec((1_u64..40, 0_u64..100_000), 1..60),
     ) {
-        let mut named = NamedWeights::default();
+        let mut named = AnnouncedWeights::default();
         for &(version, at) in &heard {
             named.note(version, UnixMs(at));
         }
--- a/crates/bilberry-core/tests/lapses.rs
+++ b/crates/bilberry-core/tests/lapses.rs
@@ -1,6 +1,6 @@
 //! Continued use of servers that are missing from the list after an outage.
 
-use bilberry_core::Lapses;
+use bilberry_core::ExpiredEntries;
 use bilberry_core::Name;
 use bilberry_core::Removal;
 use bilberry_core::UnixMs;
@@ -8,8 +8,8 @@
 const HEARTBEAT_MS: u64 = 1_200;
 
 /// Returns the state after an outage from 10,000 to `recovered_ms`.
-fn after_outage(recovered_ms: u64) -> Lapses {
-    let mut lapses = Lapses::new(HEARTBEAT_MS);
+fn after_outage(recovered_ms: u64) -> ExpiredEntries {
+    let mut lapses = ExpiredEntries::new(HEARTBEAT_MS);
     lapses.note_answer(UnixMs(9_000));
     lapses.note_lost(UnixMs(10_000));
     lapses.note_lost(UnixMs(11_000));
@@ -23,15 +23,15 @@
     // would move to the few servers that re-registered first.
     let mut lapses = after_outage(20_000);
     let until = UnixMs(21_900);
-    assert_eq!(lapses.remove(&"a".into(), UnixMs(20_010)), Removal::At(until));
-    assert_eq!(lapses.remove(&"b".into(), UnixMs(21_500)), Removal::At(until));
+    assert_eq!(lapses.remove(&"a".into(), UnixMs(20_010)), Removal::Deferred(until));
+    assert_eq!(lapses.remove(&"b".into(), UnixMs(21_500)), Removal::Deferred(until));
     assert_eq!(lapses.next_due(), Some(until));
     assert!(lapses.list("a"));
     assert!(!lapses.list("a"));
     assert_eq!(lapses.take_overdue(UnixMs(21_899)), []);
     assert_eq!(lapses.take_overdue(UnixMs(21_900)), [("b".into(), until)]);
     assert_eq!((lapses.missing(), lapses.next_due()), (0, None));
-    assert_eq!(lapses.remove(&"c".into(), UnixMs(21_900)), Removal::Now);
+    assert_eq!(lapses.remove(&"c".into(), UnixMs(21_900)), Removal::Immediate);
 }
 
 #[test]
@@ -51,14 +51,14 @@
     // A server that shuts down while one watch is interrupted must be removed at once. No
     // entry expires within two seconds, so a missing server has deregistered.
     let mut lapses = after_outage(10_000 + 2 * HEARTBEAT_MS - 1);
-    assert_eq!(lapses.remove(&"left".into(), UnixMs(12_500)), Removal::Now);
+    assert_eq!(lapses.remove(&"left".into(), UnixMs(12_500)), Removal::Immediate);
     // A stalled watch takes longer to time out, but still counts as one call.
-    let mut lapses = Lapses::new(HEARTBEAT_MS);
+    let mut lapses = ExpiredEntries::new(HEARTBEAT_MS);
     for round in 0..5 {
         lapses.note_lost(UnixMs(10_000 + round * 2_700));
         lapses.note_answer(UnixMs(12_620 + round * 2_700));
     }
-    assert_eq!(lapses.remove(&"left".into(), UnixMs(23_430)), Removal::Now);
+    assert_eq!(lapses.remove(&"left".into(), UnixMs(23_430)), Removal::Immediate);
 }
 
 #[test]
--- a/crates/bilberry-core/tests/order_lease.rs
+++ b/crates/bilberry-core/tests/order_lease.rs
@@ -5,8 +5,8 @@
 use std::collections::HashMap;
 
 use bilberry_core::ClaimWrite;
+use bilberry_core::LeaseDurations;
 use bilberry_core::LeaseTask;
-use bilberry_core::LeaseTerms;
 use bilberry_core::OrderClaim;
 use bilberry_core::OrderLease;
 use bilberry_core::SeenClaim;
@@ -18,7 +18,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-const TERMS: LeaseTerms = LeaseTerms { lease_ms: 3_000, order_ms: 500 };
+const TERMS: LeaseDurations = LeaseDurations { lease_ms: 3_000, order_ms: 500 };
 
 /// The timeout of a call to the store.
 const CALL_TIMEOUT_MS: u64 = 500;
@@ -247,7 +247,7 @@
             LeaseTask::Wait(_) => {
                 return self.push(next_wake_ms, Event::Wake { process });
             }
-            LeaseTask::Glance => Call::Glance,
+            LeaseTask::Check => Call::Glance,
             LeaseTask::Read => Call::Read,
             LeaseTask::Write(write) => Call::Write(write),
         };
@@ -323,7 +323,7 @@
         client.has_pending_call = false;
         match call {
             Call::Write(write) => {
-                let outcome = WriteOutcome::Unclear;
+                let outcome = WriteOutcome::Unknown;
                 client.lease.wrote(write, client.asked_at, outcome, now);
             }
             _ => client.lease.unanswered(now),
--- a/crates/bilberry-core/tests/readings.rs
+++ b/crates/bilberry-core/tests/readings.rs
@@ -1,11 +1,11 @@
 //! Tests of the record of shared prompt parts being prefilled.
 
-use bilberry_core::Reading;
-use bilberry_core::Readings;
+use bilberry_core::PrefillInProgress;
+use bilberry_core::PrefillsInProgress;
 use bilberry_core::UnixMs;
 
-fn reading(upstream: &str, done_by: u64) -> Reading {
-    Reading { upstream: upstream.into(), done_by: UnixMs(done_by) }
+fn reading(upstream: &str, done_by: u64) -> PrefillInProgress {
+    PrefillInProgress { upstream: upstream.into(), done_by: UnixMs(done_by) }
 }
 
 #[test]
@@ -13,7 +13,7 @@
     // Two entries send requests for the same uncached part at the same time, and each
     // informs the others. If the later message replaced the earlier one, a third request
     // would wait for the prefill that ends last.
-    let mut readings = Readings::default();
+    let mut readings = PrefillsInProgress::default();
     readings.begin(7, reading("engine-0", 100), UnixMs(0));
     readings.begin(7, reading("engine-1", 160), UnixMs(5));
     assert_eq!(readings.of(7, UnixMs(50)), Some(&reading("engine-0", 100)));
@@ -25,7 +25,7 @@
 #[test]
 fn requests_do_not_wait_for_an_overdue_prefill() {
     // The engine that prefills a part crashes, so no end of the prefill is reported.
-    let mut readings = Readings::default();
+    let mut readings = PrefillsInProgress::default();
     readings.begin(7, reading("engine-0", 100), UnixMs(0));
     assert!(readings.of(7, UnixMs(99)).is_some());
     assert_eq!(readings.of(7, UnixMs(100)), None);
@@ -38,7 +38,7 @@
 fn requests_do_not_wait_behind_a_long_backlog() {
     // The engine that prefills a part has a long backlog. Waiting for it would take the
     // next request longer than a prefill by its own engine.
-    let mut readings = Readings::default();
+    let mut readings = PrefillsInProgress::default();
     readings.begin(7, reading("engine-0", 500), UnixMs(0));
     assert_eq!(readings.worth_awaiting(7, 60, UnixMs(0)), None);
     assert!(readings.worth_awaiting(7, 60, UnixMs(400)).is_some());
--- a/crates/bilberry-core/tests/run_end.rs
+++ b/crates/bilberry-core/tests/run_end.rs
@@ -1,16 +1,17 @@
 //! Tests of when an unresponsive run is considered ended.
 
-use bilberry_core::Reach;
-use bilberry_core::Reaching;
-use bilberry_core::RunEnd;
+use bilberry_core::ConnectAttempts;
+use bilberry_core::ConnectOutcome;
+use bilberry_core::RunEndReason;
 use bilberry_core::SidecarStatus;
 use proptest::prelude::Just;
 use proptest::prelude::Strategy;
 use proptest::prelude::prop_oneof;
 use proptest::proptest;
 
-fn reaches() -> impl Strategy<Value = Vec<(Reach, SidecarStatus)>> {
-    let reach = prop_oneof![Just(Reach::Taken), Just(Reach::Silent)];
+fn reaches() -> impl Strategy<Value = Vec<(ConnectOutcome, SidecarStatus)>> {
+    let reach =
+        prop_oneof![Just(ConnectOutcome::Accepted), Just(ConnectOutcome::TimedOut)];
     let status = prop_oneof![
         Just(SidecarStatus::Up),
         Just(SidecarStatus::Down),
@@ -25,14 +26,14 @@
     // attempts is accepted.
     #[test]
     fn a_host_that_accepts_connections_never_ends_a_run(reaches in reaches()) {
-        let mut reaching = Reaching::default();
+        let mut reaching = ConnectAttempts::default();
         let mut last_accepted = 0;
         for (at, (reach, status)) in reaches.into_iter().enumerate() {
-            if reach == Reach::Taken {
+            if reach == ConnectOutcome::Accepted {
                 last_accepted = at + 1;
             }
             if let Some(end) = reaching.note(reach, status, false) {
-                assert_eq!(end, RunEnd::Unreachable);
+                assert_eq!(end, RunEndReason::Unreachable);
                 assert!(at + 1 - last_accepted >= 3);
                 assert!(status != SidecarStatus::Up);
             }
@@ -44,18 +45,18 @@
 fn a_host_without_any_response_is_unreachable() {
     // The host lost power: the stream's connection timed out without acknowledgements,
     // new connections get no response and the sidecar is silent.
-    let mut reaching = Reaching::default();
+    let mut reaching = ConnectAttempts::default();
     let ends: Vec<_> = (0..3)
-        .map(|_| reaching.note(Reach::Silent, SidecarStatus::Silent, false))
+        .map(|_| reaching.note(ConnectOutcome::TimedOut, SidecarStatus::Silent, false))
         .collect();
-    assert_eq!(ends, [None, None, Some(RunEnd::Unreachable)]);
+    assert_eq!(ends, [None, None, Some(RunEndReason::Unreachable)]);
 }
 
 #[test]
 fn a_refused_connection_ends_a_run_immediately() {
-    let mut reaching = Reaching::default();
-    let end = reaching.note(Reach::Refused, SidecarStatus::Silent, false);
-    assert_eq!(end, Some(RunEnd::Refused));
+    let mut reaching = ConnectAttempts::default();
+    let end = reaching.note(ConnectOutcome::Refused, SidecarStatus::Silent, false);
+    assert_eq!(end, Some(RunEndReason::Refused));
 }
 
 #[test]
@@ -63,10 +64,11 @@
     // A network device refuses connections, the engine accepts no new ones while leaving,
     // or its accept queue is full, but the engine keeps working. The open connection of
     // the stream shows that the host is up, whatever the sidecar reports.
-    let mut reaching = Reaching::default();
+    let mut reaching = ConnectAttempts::default();
     for status in [SidecarStatus::Up, SidecarStatus::Down, SidecarStatus::Silent] {
-        assert_eq!(reaching.note(Reach::Refused, status, true), None);
-        let silent = (0..9).filter_map(|_| reaching.note(Reach::Silent, status, true));
+        assert_eq!(reaching.note(ConnectOutcome::Refused, status, true), None);
+        let silent =
+            (0..9).filter_map(|_| reaching.note(ConnectOutcome::TimedOut, status, true));
         assert_eq!(silent.count(), 0);
     }
 }
@@ -75,8 +77,9 @@
 fn an_engine_reported_up_by_its_sidecar_is_not_unreachable() {
     // The link between entry and engine failed, so new connections get no response
     // either.
-    let mut reaching = Reaching::default();
-    let ends =
-        (0..9).filter_map(|_| reaching.note(Reach::Silent, SidecarStatus::Up, false));
+    let mut reaching = ConnectAttempts::default();
+    let ends = (0..9).filter_map(|_| {
+        reaching.note(ConnectOutcome::TimedOut, SidecarStatus::Up, false)
+    });
     assert_eq!(ends.count(), 0);
 }
--- a/crates/bilberry-core/tests/shared_watch.rs
+++ b/crates/bilberry-core/tests/shared_watch.rs
@@ -1,12 +1,12 @@
 //! Replies of a watch that is shared by many processes.
 
-use bilberry_core::Brought;
 use bilberry_core::HubCandidate;
 use bilberry_core::Name;
 use bilberry_core::StorePosition;
 use bilberry_core::UnixMs;
-use bilberry_core::WatchQuestion;
 use bilberry_core::WatchReply;
+use bilberry_core::WatchRequest;
+use bilberry_core::WatchResult;
 use bilberry_core::choose_hub;
 use bilberry_core::known_at;
 use proptest::prelude::*;
@@ -16,19 +16,19 @@
     StorePosition { era: None, revision }
 }
 
-fn quiet(from: u64, to: u64, known_ms: u64) -> Brought<Vec<u64>> {
+fn quiet(from: u64, to: u64, known_ms: u64) -> WatchResult<Vec<u64>> {
     let (from, to) = (at(from), at(to));
-    Brought { from, to, news: None, known_at: UnixMs(known_ms) }
+    WatchResult { from, to, news: None, known_at: UnixMs(known_ms) }
 }
 
-fn news(from: u64, changes: &[u64], known_ms: u64) -> Brought<Vec<u64>> {
+fn news(from: u64, changes: &[u64], known_ms: u64) -> WatchResult<Vec<u64>> {
     let to = at(*changes.last().expect("there are changes"));
     let from = at(from);
-    Brought { from, to, news: Some(changes.to_vec()), known_at: UnixMs(known_ms) }
+    WatchResult { from, to, news: Some(changes.to_vec()), known_at: UnixMs(known_ms) }
 }
 
-fn question(revision: u64, arrived_ms: u64) -> WatchQuestion {
-    WatchQuestion { position: at(revision), arrived_at: UnixMs(arrived_ms) }
+fn question(revision: u64, arrived_ms: u64) -> WatchRequest {
+    WatchRequest { position: at(revision), arrived_at: UnixMs(arrived_ms) }
 }
 
 #[test]
@@ -38,8 +38,9 @@
     // would take the entry back to revision 11, so that callers see a removed route
     // again.
     let batch = news(10, &[11, 12, 13], 0);
-    assert_eq!(question(12, 0).hear(&batch), Some(WatchReply::OutOfStep));
-    let all = WatchReply::News { position: at(13), news: vec![11, 12, 13], known_ms: 0 };
+    assert_eq!(question(12, 0).hear(&batch), Some(WatchReply::OutOfSync));
+    let all =
+        WatchReply::Changes { position: at(13), news: vec![11, 12, 13], known_ms: 0 };
     assert_eq!(question(10, 0).hear(&batch), Some(all));
     assert_eq!(question(13, 0).hear(&batch), None);
     assert_eq!(question(20, 0).hear(&batch), None);
@@ -51,7 +52,7 @@
     // request arrived in between. A reply from it would extend the validity of a key. The
     // request is answered from the next call.
     assert_eq!(question(10, 500).hear(&quiet(10, 10, 499)), None);
-    let later = WatchReply::Quiet { position: at(11), known_ms: 100 };
+    let later = WatchReply::Unchanged { position: at(11), known_ms: 100 };
     assert_eq!(question(10, 500).hear(&quiet(10, 11, 600)), Some(later));
     assert_eq!(question(12, 500).hear(&quiet(10, 11, 600)), None);
 }
@@ -141,7 +142,7 @@
         let (mut now, mut store) = (1_000_000_u64, Store { revision: 3, changes: vec![] });
         let (mut hub_at, mut hub_called_at, mut quiet_from) = (hub_from, now, hub_from);
         let (mut entry_at, mut seen) = (3, Vec::new());
-        let mut asked: Option<(u64, WatchQuestion)> = None;
+        let mut asked: Option<(u64, WatchRequest)> = None;
         let mut confirmed = 0;
         for step in steps {
             match step {
@@ -175,7 +176,7 @@
                         true => answered_ms.min(now),
                         false => hub_called_at,
                     };
-                    let brought = Brought {
+                    let brought = WatchResult {
                         from: at(hub_at),
                         to: at(to),
                         news: (!changes.is_empty()).then_some(changes),
@@ -193,16 +194,16 @@
                     now += travel_ms;
                     let known = |known_ms| known_at(UnixMs(asked_ms), known_ms, UnixMs(now)).0;
                     match reply {
-                        WatchReply::News { position, news, known_ms } => {
+                        WatchReply::Changes { position, news, known_ms } => {
                             seen.extend(news);
                             entry_at = position.revision;
                             confirmed = confirmed.max(known(known_ms));
                         }
-                        WatchReply::Quiet { position, known_ms } => {
+                        WatchReply::Unchanged { position, known_ms } => {
                             entry_at = entry_at.max(position.revision);
                             confirmed = confirmed.max(known(known_ms));
                         }
-                        WatchReply::OutOfStep => {
+                        WatchReply::OutOfSync => {
                             seen.extend(store.since(entry_at));
                             entry_at = store.revision;
                         }
--- a/crates/bilberry-core/tests/store_eras.rs
+++ b/crates/bilberry-core/tests/store_eras.rs
@@ -1,19 +1,19 @@
 //! Handling of a store that is restored from an older backup.
 
-use bilberry_core::Brought;
-use bilberry_core::Departures;
-use bilberry_core::EraEntered;
-use bilberry_core::EraTold;
+use bilberry_core::AnnouncedWeights;
+use bilberry_core::EraChange;
+use bilberry_core::EraOrder;
+use bilberry_core::ExpiredEntries;
 use bilberry_core::Freshness;
 use bilberry_core::Incarnation;
-use bilberry_core::Lapses;
-use bilberry_core::NamedWeights;
 use bilberry_core::Removal;
 use bilberry_core::StoreCursor;
 use bilberry_core::StorePosition;
+use bilberry_core::Tombstones;
 use bilberry_core::UnixMs;
-use bilberry_core::WatchQuestion;
 use bilberry_core::WatchReply;
+use bilberry_core::WatchRequest;
+use bilberry_core::WatchResult;
 
 const HEARTBEAT_MS: u64 = 1_200;
 
@@ -21,12 +21,16 @@
     StorePosition { era: Some(era), revision }
 }
 
-fn question(era: u64, revision: u64) -> WatchQuestion {
-    WatchQuestion { position: at(era, revision), arrived_at: UnixMs(0) }
+fn question(era: u64, revision: u64) -> WatchRequest {
+    WatchRequest { position: at(era, revision), arrived_at: UnixMs(0) }
 }
 
-fn brought(from: StorePosition, to: StorePosition, news: Option<u64>) -> Brought<u64> {
-    Brought { from, to, news, known_at: UnixMs(100) }
+fn brought(
+    from: StorePosition,
+    to: StorePosition,
+    news: Option<u64>,
+) -> WatchResult<u64> {
+    WatchResult { from, to, news, known_at: UnixMs(100) }
 }
 
 /// Returns the cursor of a follower that has listed at a position.
@@ -53,8 +57,8 @@
     for revision in [3, 10, 900] {
         let mut cursor = cursor(1, 10);
         let entered =
-            EraEntered { era: Some(2), left: Some(at(1, 10)), noticed_at: UnixMs(70) };
-        assert_eq!(cursor.hear(Some(2), UnixMs(70)), EraTold::Entered(entered));
+            EraChange { era: Some(2), left: Some(at(1, 10)), noticed_at: UnixMs(70) };
+        assert_eq!(cursor.hear(Some(2), UnixMs(70)), EraOrder::Entered(entered));
         assert_eq!(cursor.position(), None);
         cursor.advance(revision);
         assert_eq!(cursor.position(), Some(at(2, revision)));
@@ -64,14 +68,14 @@
 #[test]
 fn a_response_from_a_past_era_is_ignored() {
     let mut cursor = cursor(2, 10);
-    assert_eq!(cursor.hear(Some(1), UnixMs(70)), EraTold::Over);
+    assert_eq!(cursor.hear(Some(1), UnixMs(70)), EraOrder::Past);
     assert_eq!(cursor.position(), Some(at(2, 10)));
     // A response without an era is accepted. A cursor that was reset requires a new list.
-    assert_eq!(cursor.hear(None, UnixMs(80)), EraTold::Present);
+    assert_eq!(cursor.hear(None, UnixMs(80)), EraOrder::Current);
     cursor.lose();
     assert_eq!(
         (cursor.position(), cursor.hear(Some(2), UnixMs(90))),
-        (None, EraTold::Present)
+        (None, EraOrder::Current)
     );
 }
 
@@ -80,13 +84,13 @@
     // A starting process must not treat its first read as a restore. Otherwise it would
     // reject callers for two seconds after each start.
     let mut cursor = StoreCursor::default();
-    let EraTold::Entered(entered) = cursor.hear(Some(7), UnixMs(5)) else {
+    let EraOrder::Entered(entered) = cursor.hear(Some(7), UnixMs(5)) else {
         panic!("expected a new era");
     };
     assert_eq!((entered.era, entered.left), (Some(7), None));
     // A store that reports no era is followed by revision only.
     let mut cursor = StoreCursor::default();
-    assert_eq!(cursor.hear(None, UnixMs(5)), EraTold::Present);
+    assert_eq!(cursor.hear(None, UnixMs(5)), EraOrder::Current);
     cursor.advance(12);
     assert_eq!(cursor.position(), Some(StorePosition { era: None, revision: 12 }));
 }
@@ -106,14 +110,14 @@
     // A requester in an earlier era learns of the new era from the store.
     let later = brought(at(2, 10), at(2, 10), None);
     for revision in [3, 10, 900] {
-        assert_eq!(question(1, revision).hear(&later), Some(WatchReply::OutOfStep));
+        assert_eq!(question(1, revision).hear(&later), Some(WatchReply::OutOfSync));
         assert!(question(1, revision).is_behind(at(2, 3)));
     }
     // A call that began in one era and ended in the next confirms nothing.
     for requester in [question(1, 10), question(2, 12), question(2, 10)] {
-        assert_eq!(requester.hear(&across), Some(WatchReply::OutOfStep));
+        assert_eq!(requester.hear(&across), Some(WatchReply::OutOfSync));
     }
-    let in_step = WatchReply::Quiet { position: at(2, 10), known_ms: 100 };
+    let in_step = WatchReply::Unchanged { position: at(2, 10), known_ms: 100 };
     assert_eq!(question(2, 10).hear(&later), Some(in_step));
 }
 
@@ -183,15 +187,15 @@
     // The store was unavailable for less time than any entry takes to expire, so no
     // outage was detected. Without a grace period, all load would move to the servers in
     // the backup.
-    let mut lapses = Lapses::new(HEARTBEAT_MS);
+    let mut lapses = ExpiredEntries::new(HEARTBEAT_MS);
     lapses.note_answer(UnixMs(9_000));
     lapses.note_restored(UnixMs(10_000));
     let until = UnixMs(11_900);
-    assert_eq!(lapses.remove(&"a".into(), UnixMs(10_000)), Removal::At(until));
-    assert_eq!(lapses.remove(&"b".into(), UnixMs(10_000)), Removal::At(until));
+    assert_eq!(lapses.remove(&"a".into(), UnixMs(10_000)), Removal::Deferred(until));
+    assert_eq!(lapses.remove(&"b".into(), UnixMs(10_000)), Removal::Deferred(until));
     assert!(lapses.list("a"));
     assert_eq!(lapses.take_overdue(UnixMs(11_900)), [("b".into(), until)]);
-    assert_eq!(lapses.remove(&"c".into(), UnixMs(11_900)), Removal::Now);
+    assert_eq!(lapses.remove(&"c".into(), UnixMs(11_900)), Removal::Immediate);
     // A second restore restarts the grace period of the servers that are still missing.
     lapses.note_restored(UnixMs(20_000));
     lapses.remove(&"d".into(), UnixMs(20_000));
@@ -204,7 +208,7 @@
     // Otherwise requests would use up their limited retries on a server that is not
     // running, until the store expires its entry.
     let born = |born_ms| Some(Incarnation { born_at: UnixMs(born_ms) });
-    let mut departures = Departures::new(HEARTBEAT_MS);
+    let mut departures = Tombstones::new(HEARTBEAT_MS);
     departures.note_left(&"left".into(), born(500), UnixMs(9_000));
     // Without a restore, a listed server is running.
     assert!(!departures.is_doubtful("left", born(500), UnixMs(9_500)));
@@ -224,7 +228,7 @@
 fn weights_that_are_written_again_keep_their_age() {
     // If the repeated write after a restore counted as a new version, an engine without
     // these weights would be used past the bound.
-    let mut named = NamedWeights::default();
+    let mut named = AnnouncedWeights::default();
     named.note(4, UnixMs(8_000));
     named.note(5, UnixMs(9_000));
     // The backup has the older version; then the newer one is written again.
--- a/crates/bilberry-core/tests/store_eras_model.rs
+++ b/crates/bilberry-core/tests/store_eras_model.rs
@@ -6,14 +6,14 @@
 //! The entry has read the store once before, because an entry that starts between a
 //! restore and the repeated writes cannot distinguish the backup from the newest state.
 
-use bilberry_core::Brought;
-use bilberry_core::EraTold;
+use bilberry_core::EraOrder;
 use bilberry_core::Freshness;
 use bilberry_core::StoreCursor;
 use bilberry_core::StorePosition;
 use bilberry_core::UnixMs;
-use bilberry_core::WatchQuestion;
 use bilberry_core::WatchReply;
+use bilberry_core::WatchRequest;
+use bilberry_core::WatchResult;
 use bilberry_core::known_at;
 use proptest::prelude::*;
 
@@ -187,14 +187,14 @@
     version: u64,
     /// The response to the entry's own call, and when the call was made and answered.
     in_transit: Option<(Response, u64, u64)>,
-    pending_request: Option<(u64, WatchQuestion)>,
+    pending_request: Option<(u64, WatchRequest)>,
 }
 
 impl Entry {
     /// Updates the era from a response and returns how it compares with the known one.
-    fn update_era(&mut self, era: Option<u64>, now_ms: u64) -> EraTold {
+    fn update_era(&mut self, era: Option<u64>, now_ms: u64) -> EraOrder {
         let told = self.cursor.hear(era, UnixMs(now_ms));
-        if let EraTold::Entered(entered) = told
+        if let EraOrder::Entered(entered) = told
             && entered.left.is_some()
         {
             self.freshness.doubt(entered.noticed_at);
@@ -212,7 +212,7 @@
         };
         match response {
             Response::List { position, version } => {
-                if self.update_era(position.era, now_ms) != EraTold::Over {
+                if self.update_era(position.era, now_ms) != EraOrder::Past {
                     self.install(version);
                     self.freshness.note_copy(version < self.version);
                     self.freshness.confirm_read(UnixMs(asked_ms));
@@ -224,7 +224,7 @@
                 let told = self.update_era(to.era, now_ms);
                 // The response to a watch from a discarded position is ignored.
                 let is_at = self.cursor.position() == Some(from);
-                if told == EraTold::Present && is_at {
+                if told == EraOrder::Current && is_at {
                     self.apply(&versions);
                     let confirmed_ms =
                         if versions.is_empty() { answered_ms } else { asked_ms };
@@ -252,16 +252,16 @@
     ) {
         let known = |known_ms| known_at(UnixMs(asked_ms), known_ms, UnixMs(now_ms));
         match reply {
-            WatchReply::News { position, news, known_ms } => {
+            WatchReply::Changes { position, news, known_ms } => {
                 self.apply(&news);
                 self.freshness.confirm_read(known(known_ms));
                 self.cursor.advance(position.revision);
             }
-            WatchReply::Quiet { position, known_ms } => {
+            WatchReply::Unchanged { position, known_ms } => {
                 self.freshness.confirm_read(known(known_ms));
                 self.cursor.advance(position.revision);
             }
-            WatchReply::OutOfStep => {}
+            WatchReply::OutOfSync => {}
         }
     }
 }
@@ -354,7 +354,7 @@
         let asked_ms = self.now_ms;
         self.pass(travel_ms);
         let arrived_at = UnixMs(self.now_ms + HUB_CLOCK_OFFSET_MS);
-        let question = WatchQuestion { position, arrived_at };
+        let question = WatchRequest { position, arrived_at };
         self.hub.join(position);
         if !question.is_behind(self.hub.quiet_from) {
             self.entry.pending_request = Some((asked_ms, question));
@@ -387,7 +387,7 @@
             return self.reset_hub();
         };
         let known_ms = if versions.is_empty() { answered_ms } else { asked_ms };
-        let brought = Brought {
+        let brought = WatchResult {
             from,
             to,
             news: (!versions.is_empty()).then_some(versions),
--- a/crates/bilberry-entry/src/entry.rs
+++ b/crates/bilberry-entry/src/entry.rs
@@ -8,8 +8,8 @@
 use bilberry_core::Allowance;
 use bilberry_core::Clock;
 use bilberry_core::CustomerLimits;
-use bilberry_core::Overrun;
-use bilberry_core::Place;
+use bilberry_core::DataCentre;
+use bilberry_core::LimitExceeded;
 use bilberry_core::RetryBudget;
 use bilberry_core::SystemClock;
 use bilberry_core::UnixMs;
@@ -75,7 +75,7 @@
         node: Arc<Node>,
         links: Links,
         platform: P,
-        place: Place,
+        place: DataCentre,
         knowledge: K,
         limits: EntryLimits,
     ) -> Arc<Self> {
@@ -200,14 +200,14 @@
     }
 }
 
-fn limit_error(overrun: Overrun) -> ApiError {
+fn limit_error(overrun: LimitExceeded) -> ApiError {
     let (code, message, wait_ms) = match overrun {
-        Overrun::Rate { wait_ms } => (
+        LimitExceeded::Rate { wait_ms } => (
             "rate_limited",
             "your request rate is used up; come back after the time in Retry-After",
             wait_ms,
         ),
-        Overrun::Concurrency => (
+        LimitExceeded::Concurrency => (
             "too_many_in_progress",
             "too many of your requests are in progress; wait for one to end",
             CONCURRENCY_RETRY_AFTER_MS,
--- a/crates/bilberry-entry/src/explain.rs
+++ b/crates/bilberry-entry/src/explain.rs
@@ -1,7 +1,7 @@
 //! Records of routing decisions.
 
 use bilberry_core::Name;
-use bilberry_core::Weighing;
+use bilberry_core::ScoreWeights;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -48,7 +48,7 @@
         probed: &[Target],
         answers: &[Answered],
         prompt_blocks: u64,
-        weighing: Weighing,
+        weighing: ScoreWeights,
         chosen: Option<usize>,
     ) -> Self {
         let name = |at: usize| probed[at].upstream.clone();
--- a/crates/bilberry-entry/src/router.rs
+++ b/crates/bilberry-entry/src/router.rs
@@ -15,13 +15,13 @@
 use bilberry_core::Candidate;
 use bilberry_core::Chain;
 use bilberry_core::Clock;
+use bilberry_core::DataCentre;
 use bilberry_core::Name;
-use bilberry_core::Place;
+use bilberry_core::ProbeTarget;
 use bilberry_core::Scope;
-use bilberry_core::Seat;
+use bilberry_core::ScoreWeights;
 use bilberry_core::SystemClock;
 use bilberry_core::UnixMs;
-use bilberry_core::Weighing;
 use bilberry_core::candidates;
 use bilberry_core::choose;
 use bilberry_core::rendezvous;
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub struct Router<K> {
     node: Arc<Node>,
-    place: Place,
+    place: DataCentre,
     knowledge: K,
     probe_timeout: Duration,
     states: Mutex<HashMap<Name, UpstreamState>>,
@@ -98,7 +98,7 @@
 
 impl<K: Knowledge> Router<K> {
     /// Creates the router of an entry located at `place`.
-    pub fn new(node: Arc<Node>, place: Place, knowledge: K, probe_ms: u64) -> Self {
+    pub fn new(node: Arc<Node>, place: DataCentre, knowledge: K, probe_ms: u64) -> Self {
         Self {
             node,
             place,
@@ -177,7 +177,7 @@
             {
                 return None;
             }
-            let place = Place::parse(&upstream.place)?;
+            let place = DataCentre::parse(&upstream.place)?;
             Some(Target {
                 upstream: upstream.name.clone(),
                 address: sidecar.address,
@@ -207,7 +207,7 @@
         pool: &Pool,
         targets: &[Target],
         configured_chain: &Chain,
-    ) -> Vec<Seat> {
+    ) -> Vec<ProbeTarget> {
         let round_robin = self.round_robin.fetch_add(1, Ordering::Relaxed);
         let positions = match pool.policy.as_str() {
             "round_robin" => vec![round_robin % targets.len()],
@@ -229,7 +229,7 @@
                 );
             }
         };
-        positions.into_iter().map(|at| Seat { at, is_ranked: true }).collect()
+        positions.into_iter().map(|at| ProbeTarget { at, is_ranked: true }).collect()
     }
 
     fn load_candidates(&self, targets: &[Target]) -> Vec<Candidate> {
@@ -259,10 +259,10 @@
         pool: &Pool,
         request: &RouteRequest,
         targets: &[Target],
-        ranked: Vec<Seat>,
+        ranked: Vec<ProbeTarget>,
         chains: &HashMap<Name, Chain>,
     ) -> Option<usize> {
-        let probed = ranked.iter().map(|&Seat { at, is_ranked }| {
+        let probed = ranked.iter().map(|&ProbeTarget { at, is_ranked }| {
             let target = targets[at].clone();
             Target { is_ranked, ..target }
         });
@@ -280,7 +280,7 @@
         let ready: Vec<_> = answers.iter().filter(|a| a.is_ready()).collect();
         let views: Vec<_> = ready.iter().map(|answer| answer.view.clone()).collect();
         let blocks = chains.values().map(Chain::len).max().unwrap_or(0) as u64;
-        let weighing = Weighing { recompute_weight: pool.recompute_weight };
+        let weighing = ScoreWeights { recompute_weight: pool.recompute_weight };
         let best = choose(&views, blocks, weighing).map(|at| ready[at].target);
         let explained = Explained::new(&probed, &answers, blocks, weighing, best);
         self.node.events.record(&request.request, "routed", explained.detail());
--- a/crates/bilberry-gateway/src/backup.rs
+++ b/crates/bilberry-gateway/src/backup.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::AtomicBool;
 
 use bilberry_core::Clock;
-use bilberry_core::Repeat;
-use bilberry_core::Weights;
+use bilberry_core::RetryKind;
+use bilberry_core::WeightsStatus;
 use hyper::StatusCode;
 use tokio::time::timeout;
 
@@ -116,7 +116,8 @@
         let model = job.call.model.as_deref().unwrap_or_default();
         let now = self.clock.now();
         let version = backup.weights(model, now);
-        let barred = self.classify_weights(version, model, now) == Weights::Barred;
+        let barred =
+            self.classify_weights(version, model, now) == WeightsStatus::Excluded;
         let obstacle = match () {
             _ if barred => Some("the backup engine's weights are outdated"),
             _ if backup.is_leaving() => {
@@ -128,7 +129,7 @@
             _ if self.is_suspect(job) => {
                 Some("the request may crash the backup engine as well")
             }
-            _ if !self.may_repeat(&job.pool.name, Repeat::GoOn) => {
+            _ if !self.may_repeat(&job.pool.name, RetryKind::Resume) => {
                 Some("the retry budget is exhausted")
             }
             _ => None,
--- a/crates/bilberry-gateway/src/crashes.rs
+++ b/crates/bilberry-gateway/src/crashes.rs
@@ -12,7 +12,7 @@
 use bilberry_core::CrashReport;
 use bilberry_core::Name;
 use bilberry_core::RequestKey;
-use bilberry_core::Standing;
+use bilberry_core::RequestStatus;
 use bilberry_core::UnixMs;
 use bilberry_wire::Body;
 use bilberry_wire::CrashNotice;
@@ -123,17 +123,17 @@
         let now = self.clock.now();
         match self.crashes.standing(job.key, now) {
             _ if self.crashes.is_quarantine_pending(job.key, now) => Ok(()),
-            Standing::Quarantined { until } => {
+            RequestStatus::Quarantined { until } => {
                 Err(Refusal::Quarantined { for_ms: until.ms_since(now) })
             }
-            Standing::Good | Standing::Suspect => Ok(()),
+            RequestStatus::Good | RequestStatus::Suspect => Ok(()),
         }
     }
 
     /// Reports whether a request may have caused a crash. A suspect request is sent only
     /// once per attempt, to the upstream with the fewest other runs.
     pub(crate) fn is_suspect(&self, job: &Job) -> bool {
-        self.crashes.standing(job.key, self.clock.now()) != Standing::Good
+        self.crashes.standing(job.key, self.clock.now()) != RequestStatus::Good
     }
 
     /// Returns how many crashes of an upstream's known incarnation have been reported,
--- a/crates/bilberry-gateway/src/forward.rs
+++ b/crates/bilberry-gateway/src/forward.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bilberry_core::Clock;
-use bilberry_core::Repeat;
+use bilberry_core::RetryKind;
 use hyper::Response;
 use hyper::body::Incoming;
 use tokio::time::sleep;
@@ -102,7 +102,7 @@
                 {
                     self.metrics.count_send("failed_there");
                     job.detail = format!("status {}", response.http.status().as_u16());
-                    if !self.may_repeat(&job.pool.name, Repeat::Anew) {
+                    if !self.may_repeat(&job.pool.name, RetryKind::Resend) {
                         return Ok(*response);
                     }
                     *failed = Some(*response);
@@ -151,7 +151,7 @@
         let costs_nothing = job.detail == NOT_CONNECTED;
         match !attempts_used_up
             && self.has_time(job)
-            && (costs_nothing || self.may_repeat(&job.pool.name, Repeat::Anew))
+            && (costs_nothing || self.may_repeat(&job.pool.name, RetryKind::Resend))
         {
             true => Ok(()),
             false => Err(Refusal::NoCapacity),
@@ -160,7 +160,7 @@
 
     fn check_rerun(&self, job: &Job) -> Result<(), Refusal> {
         let allowed = self.may_run_after(job, job.runs) && self.has_time(job);
-        match allowed && self.may_repeat(&job.pool.name, Repeat::Anew) {
+        match allowed && self.may_repeat(&job.pool.name, RetryKind::Resend) {
             true => Ok(()),
             false => Err(Refusal::OutcomeUnknown),
         }
--- a/crates/bilberry-gateway/src/gateway.rs
+++ b/crates/bilberry-gateway/src/gateway.rs
@@ -7,15 +7,15 @@
 use std::sync::atomic::Ordering;
 
 use arc_swap::ArcSwapOption;
-use bilberry_core::BudgetTerms;
+use bilberry_core::BudgetLimits;
 use bilberry_core::Clock;
 use bilberry_core::EntryCount;
 use bilberry_core::Freshness;
 use bilberry_core::Name;
 use bilberry_core::Outage;
-use bilberry_core::Readings;
-use bilberry_core::Repeat;
-use bilberry_core::SharedBudget;
+use bilberry_core::PrefillsInProgress;
+use bilberry_core::RetryKind;
+use bilberry_core::SharedRetryBudget;
 use bilberry_core::UnixMs;
 use bilberry_wire::CacheChange;
 use bilberry_wire::UpstreamState;
@@ -48,7 +48,7 @@
     /// How long requests may still start on outdated weights, if bounded.
     pub weights_bound_ms: Option<u64>,
     /// The retry budget.
-    pub budget: BudgetTerms,
+    pub budget: BudgetLimits,
 }
 
 /// An entry that forwards requests to upstreams.
@@ -76,13 +76,13 @@
     pub sidecars: SidecarSigns,
     pub(crate) crashes: KnownCrashes,
     pub(crate) pace: Pace,
-    pub(crate) readings: Mutex<Readings>,
+    pub(crate) readings: Mutex<PrefillsInProgress>,
     pub(crate) lines: LogLineBudget,
     pub(crate) pool_summaries: watch::Sender<PoolSummaries>,
     policy: ArcSwapOption<Policy>,
     policy_freshness: Mutex<Freshness>,
     store_freshness: Mutex<Freshness>,
-    budgets: Mutex<HashMap<Name, SharedBudget>>,
+    budgets: Mutex<HashMap<Name, SharedRetryBudget>>,
     pub(crate) outages: Mutex<HashMap<Name, Outage>>,
     pub(crate) entries: Mutex<EntryCount>,
     stopping: AtomicBool,
@@ -222,7 +222,7 @@
     }
 
     /// Takes one retry from the service's budget; returns false if none is left.
-    pub(crate) fn may_repeat(&self, pool: &Name, repeat: Repeat) -> bool {
+    pub(crate) fn may_repeat(&self, pool: &Name, repeat: RetryKind) -> bool {
         let now = self.clock.now();
         let entries = self.entries.lock().unwrap().get();
         self.with_budget(pool, |budget| budget.spend(now, entries, repeat))
@@ -248,9 +248,13 @@
         self.upstreams.all().iter().filter_map(seen).max()
     }
 
-    fn with_budget<T>(&self, pool: &Name, act: impl FnOnce(&mut SharedBudget) -> T) -> T {
+    fn with_budget<T>(
+        &self,
+        pool: &Name,
+        act: impl FnOnce(&mut SharedRetryBudget) -> T,
+    ) -> T {
         let mut budgets = self.budgets.lock().unwrap();
-        let fresh = || SharedBudget::new(self.settings.budget);
+        let fresh = || SharedRetryBudget::new(self.settings.budget);
         act(budgets.entry(pool.clone()).or_insert_with(fresh))
     }
 
--- a/crates/bilberry-gateway/src/job.rs
+++ b/crates/bilberry-gateway/src/job.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use bilberry_core::Demand;
+use bilberry_core::PlacementRequest;
 use bilberry_core::RequestKey;
 use bilberry_core::UnixMs;
 use bytes::Bytes;
@@ -145,9 +145,9 @@
     }
 
     /// Returns the resources that the request needs at an upstream.
-    pub fn demand(&self, can_fetch: bool, token_us: u64) -> Demand {
+    pub fn demand(&self, can_fetch: bool, token_us: u64) -> PlacementRequest {
         let shared_tokens = self.call.shared_tokens();
-        Demand {
+        PlacementRequest {
             affinity: self.affinity(),
             shared_tokens,
             own_tokens: self.call.prompt_tokens.saturating_sub(shared_tokens),
--- a/crates/bilberry-gateway/src/known_crashes.rs
+++ b/crates/bilberry-gateway/src/known_crashes.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Mutex;
 
+use bilberry_core::CompletedRequests;
 use bilberry_core::CrashLedger;
 use bilberry_core::CrashReport;
 use bilberry_core::RequestKey;
-use bilberry_core::ServedRequests;
-use bilberry_core::Standing;
+use bilberry_core::RequestStatus;
 use bilberry_core::UnixMs;
 use bilberry_wire::CrashNotice;
 use xxhash_rust::xxh3::xxh3_64;
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct KnownCrashes {
     ledger: Mutex<CrashLedger>,
-    served: Mutex<ServedRequests>,
+    served: Mutex<CompletedRequests>,
 }
 
 /// A hash of an upstream's id and the start time of its known incarnation, the same at
@@ -78,9 +78,9 @@
         let mut quarantined: Vec<_> = requests
             .into_iter()
             .zip(before)
-            .filter(|(_, before)| !matches!(before, Standing::Quarantined { .. }))
+            .filter(|(_, before)| !matches!(before, RequestStatus::Quarantined { .. }))
             .filter_map(|(request, _)| match self.standing(request, now) {
-                Standing::Quarantined { until } => Some((request, until)),
+                RequestStatus::Quarantined { until } => Some((request, until)),
                 _ => None,
             })
             .collect();
@@ -99,7 +99,7 @@
     }
 
     /// Returns whether and how a request may be sent.
-    pub(crate) fn standing(&self, request: RequestKey, now: UnixMs) -> Standing {
+    pub(crate) fn standing(&self, request: RequestKey, now: UnixMs) -> RequestStatus {
         self.ledger.lock().unwrap().standing(request, now)
     }
 
--- a/crates/bilberry-gateway/src/placing.rs
+++ b/crates/bilberry-gateway/src/placing.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use bilberry_core::Clock;
-use bilberry_core::Demand;
 use bilberry_core::Name;
-use bilberry_core::Offer;
+use bilberry_core::PlacementCandidate;
+use bilberry_core::PlacementRequest;
 use bilberry_core::UnixMs;
-use bilberry_core::Weights;
+use bilberry_core::WeightsStatus;
 use bilberry_core::place;
 use tokio::time::timeout;
 
@@ -92,7 +92,7 @@
         let mut not_leaving = upstreams.iter().filter(|upstream| !upstream.is_leaving());
         let is_barred = |upstream: &Arc<Upstream>| {
             let version = upstream.weights(model, now);
-            self.classify_weights(version, model, now) == Weights::Barred
+            self.classify_weights(version, model, now) == WeightsStatus::Excluded
                 && !upstream.may_load_by(until, now)
         };
         not_leaving.next().is_some_and(is_barred) && not_leaving.all(is_barred)
@@ -105,9 +105,9 @@
         version: Option<u64>,
         model: &str,
         now: UnixMs,
-    ) -> Weights {
+    ) -> WeightsStatus {
         let lacking_ms = self.weights.lacking_ms(model, version, now);
-        Weights::lacking(lacking_ms, self.settings.weights_bound_ms)
+        WeightsStatus::lacking(lacking_ms, self.settings.weights_bound_ms)
     }
 
     /// Chooses an upstream with capacity, if there is one.
@@ -124,7 +124,7 @@
         let can_fetch = self.stores.any_answers();
         let demand = job.demand(can_fetch, self.pace.token_us(&job.pool.name));
         let mut versions = Vec::with_capacity(upstreams.len());
-        let mut offers: Vec<Offer> = upstreams
+        let mut offers: Vec<PlacementCandidate> = upstreams
             .iter()
             .map(|upstream| {
                 let mut offer =
@@ -186,7 +186,7 @@
 #[derive(Debug)]
 pub(crate) struct Choice {
     pub(crate) upstream: Arc<Upstream>,
-    pub(crate) demand: Demand,
+    pub(crate) demand: PlacementRequest,
     /// The version of the upstream's weights.
     pub(crate) weights: Option<u64>,
     /// The largest number of shared tokens that any upstream with these weights holds.
@@ -194,7 +194,7 @@
 }
 
 /// Keeps only the least loaded upstreams usable, so that a crash affects the fewest runs.
-fn keep_least_loaded(offers: &mut [Offer]) {
+fn keep_least_loaded(offers: &mut [PlacementCandidate]) {
     let usable = offers.iter().filter(|offer| offer.usable);
     let least = usable.map(|offer| offer.running).min().unwrap_or_default();
     offers.iter_mut().for_each(|offer| offer.usable &= offer.running == least);
--- a/crates/bilberry-gateway/src/prompt_stores.rs
+++ b/crates/bilberry-gateway/src/prompt_stores.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
 
-use bilberry_core::LinkShare;
+use bilberry_core::LinkBudget;
 use bilberry_core::Name;
 use bilberry_core::Transfer;
 use bilberry_core::UnixMs;
@@ -46,7 +46,7 @@
     pub kept: KeptParts,
     /// The capacity of its link in tokens per second, if configured.
     link_tokens_per_s: Option<f64>,
-    link: Mutex<LinkShare>,
+    link: Mutex<LinkBudget>,
     answers: AtomicBool,
     answering_changed: Arc<Notify>,
 }
--- a/crates/bilberry-gateway/src/readings.rs
+++ b/crates/bilberry-gateway/src/readings.rs
@@ -2,7 +2,7 @@
 //! time.
 
 use bilberry_core::Clock;
-use bilberry_core::Reading;
+use bilberry_core::PrefillInProgress;
 use bilberry_core::UnixMs;
 use bilberry_core::most_wait_for_parts_ms;
 use bilberry_wire::Body;
@@ -105,7 +105,8 @@
         for reading in begun {
             let done_by = now.plus_ms(reading.done_in_ms);
             upstream.expect_reading(reading.part, done_by, now);
-            let reading_there = Reading { upstream: upstream.id.clone(), done_by };
+            let reading_there =
+                PrefillInProgress { upstream: upstream.id.clone(), done_by };
             readings.begin(reading.part, reading_there, now);
         }
     }
--- a/crates/bilberry-gateway/src/relay.rs
+++ b/crates/bilberry-gateway/src/relay.rs
@@ -6,7 +6,7 @@
 
 use bilberry_core::Clock;
 use bilberry_core::EventSplitter;
-use bilberry_core::Repeat;
+use bilberry_core::RetryKind;
 use bilberry_node::BodyPiece;
 use bilberry_node::OutBody;
 use bytes::Bytes;
@@ -170,7 +170,7 @@
                 .await;
         }
         if !self.may_run_after(job, job.runs)
-            || !self.may_repeat(&job.pool.name, Repeat::GoOn)
+            || !self.may_repeat(&job.pool.name, RetryKind::Resume)
         {
             return None;
         }
--- a/crates/bilberry-gateway/src/serve.rs
+++ b/crates/bilberry-gateway/src/serve.rs
@@ -4,8 +4,8 @@
 
 use bilberry_core::Clock;
 use bilberry_core::Name;
-use bilberry_core::Repeat;
 use bilberry_core::RequestKey;
+use bilberry_core::RetryKind;
 use bilberry_core::UnixMs;
 use bilberry_node::ClientTimes;
 use bilberry_node::HttpHandler;
@@ -297,7 +297,7 @@
                 Err(Refusal::OutcomeUnknown) => {
                     job.runs += 1;
                     let again = self.gateway.may_run_after(job, job.runs)
-                        && self.gateway.may_repeat(&job.pool.name, Repeat::Anew);
+                        && self.gateway.may_repeat(&job.pool.name, RetryKind::Resend);
                     if !again {
                         return ServeOutcome::Refused(Refusal::OutcomeUnknown);
                     }
--- a/crates/bilberry-gateway/src/stopping.rs
+++ b/crates/bilberry-gateway/src/stopping.rs
@@ -12,10 +12,10 @@
 use std::time::Duration;
 
 use bilberry_core::Clock;
+use bilberry_core::ConnectAttempts;
+use bilberry_core::ConnectOutcome;
 use bilberry_core::Name;
-use bilberry_core::Reach;
-use bilberry_core::Reaching;
-use bilberry_core::RunEnd;
+use bilberry_core::RunEndReason;
 use http_body_util::BodyExt;
 use http_body_util::Limited;
 use tokio::time::sleep;
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum FirstRunEnd {
     /// It has ended without a transfer of its KV cache.
-    Ended(RunEnd),
+    Ended(RunEndReason),
     /// It was stopped, and the successor holds this copy of its KV cache.
     Moved(MemoryCopy),
 }
@@ -111,7 +111,7 @@
     /// Waits, without a time limit, until a run has ended at the engine that started it.
     pub(crate) async fn ensure_run_ended(&self, run: &RunTakeover) -> FirstRunEnd {
         let began_at = self.clock.now();
-        let mut reaching = Reaching::default();
+        let mut reaching = ConnectAttempts::default();
         let mut backoff = Backoff::new();
         loop {
             let ended = self.try_end_run(run, &mut reaching, &backoff).await;
@@ -131,17 +131,17 @@
     async fn try_end_run(
         &self,
         run: &RunTakeover,
-        reaching: &mut Reaching,
+        reaching: &mut ConnectAttempts,
         backoff: &Backoff,
     ) -> Option<FirstRunEnd> {
         if run.upstream.has_ended() {
-            return Some(FirstRunEnd::Ended(RunEnd::StartedAnew));
+            return Some(FirstRunEnd::Ended(RunEndReason::Restarted));
         }
         let connected = connect(run.upstream.address).await;
         let reach = match &connected {
-            Ok(_) => Reach::Taken,
-            Err(ConnectError::Refused) => Reach::Refused,
-            Err(ConnectError::Unreachable(_)) => Reach::Silent,
+            Ok(_) => ConnectOutcome::Accepted,
+            Err(ConnectError::Refused) => ConnectOutcome::Refused,
+            Err(ConnectError::Unreachable(_)) => ConnectOutcome::TimedOut,
             Err(ConnectError::Failed(_)) => return None,
         };
         let sidecar = run.upstream.sidecar_status(self.clock.now());
@@ -176,8 +176,8 @@
             StopReply::Moved(name) => {
                 Some(FirstRunEnd::Moved(MemoryCopy { named_by: upstream, name }))
             }
-            StopReply::Stopped => Some(FirstRunEnd::Ended(RunEnd::Stopped)),
-            StopReply::NoSuchRun => Some(FirstRunEnd::Ended(RunEnd::Unknown)),
+            StopReply::Stopped => Some(FirstRunEnd::Ended(RunEndReason::Stopped)),
+            StopReply::NoSuchRun => Some(FirstRunEnd::Ended(RunEndReason::NoSuchRun)),
             StopReply::Unclear => None,
         }
     }
@@ -186,7 +186,7 @@
 fn log_run_end(run: &RunTakeover, first_run_end: &FirstRunEnd, took_ms: u64) {
     let end = match first_run_end {
         FirstRunEnd::Ended(end) => *end,
-        FirstRunEnd::Moved(_) => RunEnd::Stopped,
+        FirstRunEnd::Moved(_) => RunEndReason::Stopped,
     };
     log::info!(
         target: "stream",
--- a/crates/bilberry-gateway/src/upstream.rs
+++ b/crates/bilberry-gateway/src/upstream.rs
@@ -10,11 +10,11 @@
 
 use bilberry_core::Incarnation;
 use bilberry_core::Name;
-use bilberry_core::Offer;
+use bilberry_core::PlacementCandidate;
 use bilberry_core::SidecarStatus;
 use bilberry_core::StorePosition;
 use bilberry_core::UnixMs;
-use bilberry_core::Weights;
+use bilberry_core::WeightsStatus;
 use bilberry_wire::Body;
 use bilberry_wire::CacheChange;
 use bilberry_wire::UpstreamState;
@@ -426,7 +426,7 @@
         now: UnixMs,
         own_place: &str,
         engine: Option<EngineTerms>,
-    ) -> Offer {
+    ) -> PlacementCandidate {
         let live = self.live.lock().unwrap();
         let feed = live.fresh_feed(now);
         let (running, queued) = match (feed, live.load) {
@@ -450,7 +450,7 @@
             .or(engine.map(|engine| engine.memory_tokens));
         let fed_tokens = feed.map_or(0, |state| state.used_tokens);
         let used_tokens = (fed_tokens + unseen_tokens).max(live.reserved_tokens);
-        Offer {
+        PlacementCandidate {
             seed: self.seed,
             usable: live.is_eligible(now),
             same_place: self.place == own_place,
@@ -459,7 +459,7 @@
             pending_tokens: live.pending_tokens,
             running: in_progress,
             queued,
-            weights: Weights::Fine,
+            weights: WeightsStatus::Acceptable,
             held_tokens: 0,
             loads_in_ms: live.loads_at.map(|at| at.ms_since(now)),
         }
--- a/crates/bilberry-gateway/src/upstreams.rs
+++ b/crates/bilberry-gateway/src/upstreams.rs
@@ -9,8 +9,8 @@
 
 use arc_swap::ArcSwap;
 use bilberry_core::Incarnation;
+use bilberry_core::IncarnationOrder;
 use bilberry_core::Name;
-use bilberry_core::Told;
 use bilberry_core::UnixMs;
 use bilberry_wire::CacheChange;
 use bilberry_wire::UpstreamState;
@@ -115,12 +115,12 @@
         let mut by_id = self.by_id.lock().unwrap();
         let known = by_id.get(id).cloned()?;
         let ended = match Incarnation::compare(known.incarnation(), state.incarnation()) {
-            Told::Older => None,
-            Told::Same => {
+            IncarnationOrder::Older => None,
+            IncarnationOrder::Same => {
                 known.feed(state, now);
                 None
             }
-            Told::Newer => {
+            IncarnationOrder::Newer => {
                 let next = self.insert(&mut by_id, known.next_incarnation(&state));
                 next.feed(state, now);
                 known.end();
@@ -138,10 +138,10 @@
     pub fn cache_change(&self, id: &str, change: &CacheChange, now: UnixMs) -> bool {
         let Some(known) = self.get(id) else { return false };
         let order = Incarnation::compare(known.incarnation(), change.incarnation());
-        if order == Told::Same {
+        if order == IncarnationOrder::Same {
             known.cache_change(change, now);
         }
-        order == Told::Same
+        order == IncarnationOrder::Same
     }
 
     /// Returns the current incarnation of an upstream.
@@ -183,7 +183,7 @@
             return;
         };
         let order = Incarnation::compare(before.incarnation(), upstream.incarnation());
-        if order == Told::Same && before.address == upstream.address {
+        if order == IncarnationOrder::Same && before.address == upstream.address {
             log::info!(target: "upstream", upstream = upstream.id.as_str(); "ignoring a listing of a server that announced its shutdown");
             upstream.announce_leaving();
         }
@@ -300,13 +300,13 @@
 fn is_later(known: &Upstream, listed: Option<Incarnation>) -> bool {
     match known.incarnation() {
         None => listed.is_some(),
-        known => Incarnation::compare(known, listed) == Told::Newer,
+        known => Incarnation::compare(known, listed) == IncarnationOrder::Newer,
     }
 }
 
 /// Reports whether a listed incarnation is earlier than the known one.
 fn is_earlier(known: &Upstream, listed: Option<Incarnation>) -> bool {
-    Incarnation::compare(known.incarnation(), listed) == Told::Older
+    Incarnation::compare(known.incarnation(), listed) == IncarnationOrder::Older
 }
 
 /// Marks an upstream as leaving if another one was started or listed later at its
@@ -321,10 +321,10 @@
     let others = by_id.values().filter(|known| known.id != new.id);
     for known in others.filter(|known| known.address == new.address) {
         match Incarnation::compare(known.incarnation(), new.incarnation()) {
-            Told::Newer => known.leave(),
-            Told::Older => new.leave(),
-            Told::Same if known.listed_at < new.listed_at => known.leave(),
-            Told::Same => new.leave(),
+            IncarnationOrder::Newer => known.leave(),
+            IncarnationOrder::Older => new.leave(),
+            IncarnationOrder::Same if known.listed_at < new.listed_at => known.leave(),
+            IncarnationOrder::Same => new.leave(),
         }
     }
 }
--- a/crates/bilberry-gateway/src/weights.rs
+++ b/crates/bilberry-gateway/src/weights.rs
@@ -3,15 +3,15 @@
 use std::collections::HashMap;
 use std::sync::Mutex;
 
+use bilberry_core::AnnouncedWeights;
 use bilberry_core::Name;
-use bilberry_core::NamedWeights;
 use bilberry_core::UnixMs;
 use tokio::sync::Notify;
 
 /// The known versions of each model's weights.
 #[derive(Debug, Default)]
 pub struct KnownWeights {
-    by_model: Mutex<HashMap<Name, NamedWeights>>,
+    by_model: Mutex<HashMap<Name, AnnouncedWeights>>,
     /// Notified when a new version becomes known.
     pub(crate) changed: Notify,
 }
--- a/crates/bilberry-gateway/tests/incarnations.rs
+++ b/crates/bilberry-gateway/tests/incarnations.rs
@@ -6,7 +6,7 @@
 
 use bilberry_core::Incarnation;
 use bilberry_core::Name;
-use bilberry_core::Offer;
+use bilberry_core::PlacementCandidate;
 use bilberry_core::StorePosition;
 use bilberry_core::UnixMs;
 use bilberry_gateway::EngineTerms;
@@ -60,7 +60,7 @@
     upstreams.get(ID).expect("it is listed")
 }
 
-fn offer(upstreams: &Upstreams) -> Offer {
+fn offer(upstreams: &Upstreams) -> PlacementCandidate {
     current(upstreams).offer(NOW, "hall-a", Some(TERMS))
 }
 
--- a/crates/bilberry-load/src/decide/agenda.rs
+++ b/crates/bilberry-load/src/decide/agenda.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-use bilberry_core::Reading;
+use bilberry_core::PrefillInProgress;
 use bilberry_core::UnixMs;
 
 /// What is still to happen.
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub(crate) enum What {
     Place(usize),
-    Tell { from: usize, part: u64, reading: Reading },
+    Tell { from: usize, part: u64, reading: PrefillInProgress },
     Crash { share: f64, for_ms: f64 },
     Name,
     Load { engine: usize, version: u64, turn_at: UnixMs },
--- a/crates/bilberry-load/src/decide/replay.rs
+++ b/crates/bilberry-load/src/decide/replay.rs
@@ -2,11 +2,11 @@
 
 use std::collections::HashSet;
 
-use bilberry_core::Demand;
 use bilberry_core::Name;
-use bilberry_core::Offer;
-use bilberry_core::Reading;
-use bilberry_core::Readings;
+use bilberry_core::PlacementCandidate;
+use bilberry_core::PlacementRequest;
+use bilberry_core::PrefillInProgress;
+use bilberry_core::PrefillsInProgress;
 use bilberry_core::Rollout;
 use bilberry_core::RolloutPlace;
 use bilberry_core::UnixMs;
@@ -65,7 +65,7 @@
     policy: Policy,
     arrivals: &'a [Arrival],
     engines: Vec<Engine>,
-    readings: Vec<Readings>,
+    readings: Vec<PrefillsInProgress>,
     turns: Vec<usize>,
     sends: Vec<usize>,
     tried: Vec<Vec<usize>>,
@@ -85,7 +85,7 @@
             engines: (0..load.engines.count)
                 .map(|_| Engine::new(load.event_delay_ms as f64))
                 .collect(),
-            readings: (0..load.entries).map(|_| Readings::default()).collect(),
+            readings: (0..load.entries).map(|_| PrefillsInProgress::default()).collect(),
             turns: vec![0; load.entries],
             sends: vec![0; arrivals.len()],
             tried: vec![Vec::new(); arrivals.len()],
@@ -245,7 +245,7 @@
         for &(part, _) in read {
             let Some(held) = self.engines[engine].part(part) else { continue };
             let done_by = unix(held.told_for_ms);
-            let reading = Reading { upstream: name(engine), done_by };
+            let reading = PrefillInProgress { upstream: name(engine), done_by };
             self.readings[entry].begin(part, reading.clone(), unix(now_ms));
             self.put(now_ms + TELL_MS, What::Tell { from: entry, part, reading });
         }
@@ -255,10 +255,10 @@
     fn choose(&mut self, request: usize, now_ms: f64) -> Choice {
         let arrival = &self.arrivals[request];
         let kind = &self.load.requests[arrival.kind];
-        let offers: Vec<Offer> = (0..self.engines.len())
+        let offers: Vec<PlacementCandidate> = (0..self.engines.len())
             .map(|engine| self.offer(request, engine, now_ms))
             .collect();
-        let demand = Demand {
+        let demand = PlacementRequest {
             affinity: arrival.parts[1].0,
             shared_tokens: arrival.parts.iter().map(|&(_, tokens)| tokens).sum(),
             own_tokens: kind.own_tokens,
@@ -278,7 +278,7 @@
         &self,
         request: usize,
         engine: usize,
-        offers: &[Offer],
+        offers: &[PlacementCandidate],
         now_ms: f64,
     ) -> Option<f64> {
         if self.policy != Policy::Ours {
@@ -305,7 +305,7 @@
     }
 
     /// Returns what an entry knows of an engine.
-    fn offer(&self, request: usize, at: usize, now_ms: f64) -> Offer {
+    fn offer(&self, request: usize, at: usize, now_ms: f64) -> PlacementCandidate {
         let arrival = &self.arrivals[request];
         let engine = &self.engines[at];
         let terms = &self.load.engines;
@@ -320,7 +320,7 @@
         let used: u64 = seen.iter().map(|run| run.memory_tokens).sum();
         let keys = self.keys(request, at);
         let held = keys.known(engine, arrival.entry, now_ms, self.policy);
-        Offer {
+        PlacementCandidate {
             seed: xxh3_64(name(at).as_bytes()),
             usable: !self.is_known_away(at, now_ms) && !self.tried[request].contains(&at),
             same_place: true,
@@ -329,7 +329,7 @@
             pending_tokens: unread.map(|run| run.read_tokens).sum(),
             running: seen.len() as u64,
             held_tokens: keys.parts[..held].iter().map(|&(_, tokens)| tokens).sum(),
-            ..Offer::default()
+            ..PlacementCandidate::default()
         }
     }
 
--- a/crates/bilberry-sidecar/src/cache.rs
+++ b/crates/bilberry-sidecar/src/cache.rs
@@ -48,7 +48,7 @@
         let event = events.next().await?;
         node.metrics.cache_events.inc();
         let state = index.lock().unwrap().apply(event);
-        if state == IndexState::Unsure {
+        if state == IndexState::Incomplete {
             node.metrics.cache_event_gaps.inc();
             node.events.record("", "cache_events_lost", "the index is fetched anew");
             resync(engine, index).await?;
--- a/crates/bilberry-steward/src/cache.rs
+++ b/crates/bilberry-steward/src/cache.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bilberry_core::Incarnation;
-use bilberry_core::Told;
+use bilberry_core::IncarnationOrder;
 use bilberry_core::UnixMs;
 use bilberry_core::part_key;
 use bilberry_wire::CacheChange;
@@ -124,9 +124,9 @@
     pub fn observe_incarnation(&self, incarnation: Incarnation) {
         let mut contents = self.contents.lock().unwrap();
         match Incarnation::compare(contents.incarnation, Some(incarnation)) {
-            Told::Older => {}
-            Told::Same => contents.incarnation = Some(incarnation),
-            Told::Newer => {
+            IncarnationOrder::Older => {}
+            IncarnationOrder::Same => contents.incarnation = Some(incarnation),
+            IncarnationOrder::Newer => {
                 *contents =
                     Contents { incarnation: Some(incarnation), ..Contents::default() };
                 self.clear_epoch();
@@ -143,7 +143,7 @@
     pub fn forward_reading(&self, notice: ReadingNotice) {
         let contents = self.contents.lock().unwrap();
         let read_by = notice.born_ms.map(|ms| Incarnation { born_at: UnixMs(ms) });
-        if Incarnation::compare(contents.incarnation, read_by) != Told::Same {
+        if Incarnation::compare(contents.incarnation, read_by) != IncarnationOrder::Same {
             return;
         }
         let change = CacheChange {
--- a/crates/bilberry-steward/src/newest.rs
+++ b/crates/bilberry-steward/src/newest.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::sync::Mutex;
 
+use bilberry_core::AnnouncedWeights;
 use bilberry_core::Name;
-use bilberry_core::NamedWeights;
 use bilberry_core::RolloutPlace;
 use bilberry_core::UnixMs;
 use bilberry_wire::EntryNotice;
@@ -17,7 +17,7 @@
 
 #[derive(Debug, Default)]
 struct Known {
-    weights: HashMap<Name, NamedWeights>,
+    weights: HashMap<Name, AnnouncedWeights>,
     place: Option<RolloutPlace>,
 }
 
--- a/crates/bilberry-steward/src/steward.rs
+++ b/crates/bilberry-steward/src/steward.rs
@@ -5,8 +5,8 @@
 
 use bilberry_core::Clock;
 use bilberry_core::Incarnation;
+use bilberry_core::IncarnationOrder;
 use bilberry_core::Rollout;
-use bilberry_core::Told;
 use bilberry_core::UnixMs;
 use bilberry_core::may_begin_load;
 use bilberry_core::sidecar_fence;
@@ -185,14 +185,14 @@
     /// wait for a load that is never executed.
     fn admit_report(&self, report: &EngineReport, state: &mut PollState) -> bool {
         let relation = Incarnation::compare(state.incarnation, report.incarnation);
-        if relation == Told::Newer {
+        if relation == IncarnationOrder::Newer {
             log::info!(target: "engine", running = report.running, orders = report.orders; "started again");
             *state = PollState::new(self.weights_bound_ms);
         }
-        if relation != Told::Older {
+        if relation != IncarnationOrder::Older {
             state.incarnation = report.incarnation.or(state.incarnation);
         }
-        relation != Told::Older
+        relation != IncarnationOrder::Older
     }
 
     fn record_response(&self, state: &mut PollState) {
--- a/crates/bilberry-steward/src/watch_hub.rs
+++ b/crates/bilberry-steward/src/watch_hub.rs
@@ -10,13 +10,13 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use bilberry_core::Brought;
 use bilberry_core::Clock;
 use bilberry_core::Name;
 use bilberry_core::StorePosition;
 use bilberry_core::UnixMs;
-use bilberry_core::WatchQuestion;
 use bilberry_core::WatchReply;
+use bilberry_core::WatchRequest;
+use bilberry_core::WatchResult;
 use bilberry_wire::WatchAnswer;
 use bilberry_wire::WatchAsk;
 use bilberry_wire::WatchOutcome;
@@ -106,24 +106,24 @@
 #[derive(Debug)]
 struct LastChange {
     unchanged_since: StorePosition,
-    update: Brought<Bytes>,
+    update: WatchResult<Bytes>,
 }
 
 impl SharedWatch {
     /// Answers a client that lags with the last change, if it has missed no other.
-    fn answer_with_last_change(&self, question: WatchQuestion) -> WatchAnswer {
+    fn answer_with_last_change(&self, question: WatchRequest) -> WatchAnswer {
         let missed_no_other =
             |last: &&LastChange| !question.is_behind(last.unchanged_since);
         let last = self.last_change.as_ref().filter(missed_no_other);
         let reply = last.and_then(|last| question.hear(&last.update));
-        into_answer(reply.unwrap_or(WatchReply::OutOfStep))
+        into_answer(reply.unwrap_or(WatchReply::OutOfSync))
     }
 }
 
 /// The outcome of a call, sent to all waiting clients.
 #[derive(Debug, Clone)]
 enum Outcome {
-    Update(Brought<Bytes>),
+    Update(WatchResult<Bytes>),
     HistoryLost,
     Failed,
 }
@@ -143,7 +143,7 @@
     /// Answers a request once a call to the store has an outcome for it.
     pub async fn answer(self: Arc<Self>, request: WatchAsk) -> WatchAnswer {
         let arrived_at = self.clock.now();
-        let question = WatchQuestion { position: request.position(), arrived_at };
+        let question = WatchRequest { position: request.position(), arrived_at };
         let mut outcomes = match self.subscribe(request, question) {
             Ok(outcomes) => outcomes,
             Err(answer) => return answer,
@@ -152,7 +152,7 @@
             let reply = match outcomes.recv().await {
                 Ok(Outcome::Update(update)) => question.hear(&update),
                 Ok(Outcome::Failed) => return answer_without_changes(WatchOutcome::Lost),
-                Ok(Outcome::HistoryLost) | Err(_) => Some(WatchReply::OutOfStep),
+                Ok(Outcome::HistoryLost) | Err(_) => Some(WatchReply::OutOfSync),
             };
             if let Some(reply) = reply {
                 return into_answer(reply);
@@ -166,7 +166,7 @@
     fn subscribe(
         self: &Arc<Self>,
         request: WatchAsk,
-        question: WatchQuestion,
+        question: WatchRequest,
     ) -> Result<broadcast::Receiver<Outcome>, WatchAnswer> {
         let mut watches = self.watches.lock().unwrap();
         let kind = Name::from(&request.kind);
@@ -223,11 +223,11 @@
                 Ok(SourceAnswer::Quiet(to)) => {
                     let latest = called_at.plus_ms(params.wait_ms);
                     let known_at = latest.min(self.clock.now());
-                    Brought { from: position, to, news: None, known_at }
+                    WatchResult { from: position, to, news: None, known_at }
                 }
                 Ok(SourceAnswer::News { position: to, changes }) => {
                     let news = Some(changes);
-                    Brought { from: position, to, news, known_at: called_at }
+                    WatchResult { from: position, to, news, known_at: called_at }
                 }
                 Ok(SourceAnswer::HistoryLost) => break,
                 Err(error) => {
@@ -276,7 +276,7 @@
         let mut watches = self.watches.lock().unwrap();
         let Some(shared) = watches.get_mut(kind) else { return };
         shared.failing = matches!(outcome, Outcome::Failed);
-        if let Outcome::Update(update @ Brought { news: Some(_), .. }) = &outcome {
+        if let Outcome::Update(update @ WatchResult { news: Some(_), .. }) = &outcome {
             let unchanged_since =
                 std::mem::replace(&mut shared.unchanged_since, update.to);
             let update = update.clone();
@@ -297,13 +297,13 @@
 
 fn into_answer(reply: WatchReply<Bytes>) -> WatchAnswer {
     let (outcome, position, known_ms, news) = match reply {
-        WatchReply::News { position, news, known_ms } => {
+        WatchReply::Changes { position, news, known_ms } => {
             (WatchOutcome::News, position, known_ms, news)
         }
-        WatchReply::Quiet { position, known_ms } => {
+        WatchReply::Unchanged { position, known_ms } => {
             (WatchOutcome::Quiet, position, known_ms, Bytes::new())
         }
-        WatchReply::OutOfStep => return answer_without_changes(WatchOutcome::OutOfStep),
+        WatchReply::OutOfSync => return answer_without_changes(WatchOutcome::OutOfStep),
     };
     let StorePosition { era, revision } = position;
     WatchAnswer { outcome: outcome.into(), revision, known_ms, news, era }
--- a/crates/bilberryd/src/hosted.rs
+++ b/crates/bilberryd/src/hosted.rs
@@ -24,7 +24,7 @@
 use bilberry_adapter::keep_reach;
 use bilberry_adapter::order_unattended;
 use bilberry_core::BootClock;
-use bilberry_core::BudgetTerms;
+use bilberry_core::BudgetLimits;
 use bilberry_core::Clock;
 use bilberry_gateway::Gateway;
 use bilberry_gateway::GatewaySettings;
@@ -149,7 +149,7 @@
             place: settings.place.clone(),
             keys_good_ms: settings.keys_good_ms.map(|ms| ms - KEY_VALIDITY_MARGIN_MS),
             weights_bound_ms: settings.weights_bound_ms,
-            budget: BudgetTerms {
+            budget: BudgetLimits {
                 ratio: settings.repeat_ratio,
                 slack: settings.repeat_slack,
                 window_ms: settings.repeat_window_ms,
