--- a/crates/bilberry-core/src/shared_watch.rs
+++ b/crates/bilberry-core/src/shared_watch.rs
@@ -24,14 +24,14 @@
 
 /// A request to the hub for the changes after a position.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
-pub struct WatchRequest {
+pub struct PendingWatch {
     /// The position up to which the requester knows all changes.
     pub position: StorePosition,
     /// When the request arrived at the hub.
     pub arrived_at: UnixMs,
 }
 
-/// The hub's reply to a [`WatchRequest`].
+/// The hub's reply to a [`PendingWatch`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchReply<T> {
     /// There were changes.
@@ -64,7 +64,7 @@
     }
 }
 
-impl WatchRequest {
+impl PendingWatch {
     /// Returns whether the requester lacks changes that were reported before its request.
     ///
     /// `quiet_from` is the position of the last reported change. The hub keeps only the
--- a/crates/bilberry-core/tests/shared_watch.rs
+++ b/crates/bilberry-core/tests/shared_watch.rs
@@ -2,10 +2,10 @@
 
 use bilberry_core::HubCandidate;
 use bilberry_core::Name;
+use bilberry_core::PendingWatch;
 use bilberry_core::StorePosition;
 use bilberry_core::UnixMs;
 use bilberry_core::WatchReply;
-use bilberry_core::WatchRequest;
 use bilberry_core::WatchResult;
 use bilberry_core::choose_hub;
 use bilberry_core::known_at;
@@ -27,8 +27,8 @@
     WatchResult { from, to, news: Some(changes.to_vec()), known_at: UnixMs(known_ms) }
 }
 
-fn question(revision: u64, arrived_ms: u64) -> WatchRequest {
-    WatchRequest { position: at(revision), arrived_at: UnixMs(arrived_ms) }
+fn question(revision: u64, arrived_ms: u64) -> PendingWatch {
+    PendingWatch { position: at(revision), arrived_at: UnixMs(arrived_ms) }
 }
 
 #[test]
@@ -142,7 +142,7 @@
         let (mut now, mut store) = (1_000_000_u64, Store { revision: 3, changes: vec![] });
         let (mut hub_at, mut hub_called_at, mut quiet_from) = (hub_from, now, hub_from);
         let (mut entry_at, mut seen) = (3, Vec::new());
-        let mut asked: Option<(u64, WatchRequest)> = None;
+        let mut asked: Option<(u64, PendingWatch)> = None;
         let mut confirmed = 0;
         for step in steps {
             match step {
--- a/crates/bilberry-core/tests/store_eras.rs
+++ b/crates/bilberry-core/tests/store_eras.rs
@@ -6,13 +6,13 @@
 use bilberry_core::ExpiredEntries;
 use bilberry_core::Freshness;
 use bilberry_core::Incarnation;
+use bilberry_core::PendingWatch;
 use bilberry_core::Removal;
 use bilberry_core::StoreCursor;
 use bilberry_core::StorePosition;
 use bilberry_core::Tombstones;
 use bilberry_core::UnixMs;
 use bilberry_core::WatchReply;
-use bilberry_core::WatchRequest;
 use bilberry_core::WatchResult;
 
 const HEARTBEAT_MS: u64 = 1_200;
@@ -21,8 +21,8 @@
     StorePosition { era: Some(era), revision }
 }
 
-fn question(era: u64, revision: u64) -> WatchRequest {
-    WatchRequest { position: at(era, revision), arrived_at: UnixMs(0) }
+fn question(era: u64, revision: u64) -> PendingWatch {
+    PendingWatch { position: at(era, revision), arrived_at: UnixMs(0) }
 }
 
 fn brought(
--- a/crates/bilberry-core/tests/store_eras_model.rs
+++ b/crates/bilberry-core/tests/store_eras_model.rs
@@ -8,11 +8,11 @@
 
 use bilberry_core::EraOrder;
 use bilberry_core::Freshness;
+use bilberry_core::PendingWatch;
 use bilberry_core::StoreCursor;
 use bilberry_core::StorePosition;
 use bilberry_core::UnixMs;
 use bilberry_core::WatchReply;
-use bilberry_core::WatchRequest;
 use bilberry_core::WatchResult;
 use bilberry_core::known_at;
 use proptest::prelude::*;
@@ -187,7 +187,7 @@
     version: u64,
     /// The response to the entry's own call, and when the call was made and answered.
     in_transit: Option<(Response, u64, u64)>,
-    pending_request: Option<(u64, WatchRequest)>,
+    pending_request: Option<(u64, PendingWatch)>,
 }
 
 impl Entry {
@@ -354,7 +354,7 @@
         let asked_ms = self.now_ms;
         self.pass(travel_ms);
         let arrived_at = UnixMs(self.now_ms + HUB_CLOCK_OFFSET_MS);
-        let question = WatchRequest { position, arrived_at };
+        let question = PendingWatch { position, arrived_at };
         self.hub.join(position);
         if !question.is_behind(self.hub.quiet_from) {
             self.entry.pending_request = Some((asked_ms, question));
--- a/crates/bilberry-entry/src/admin.rs
+++ b/crates/bilberry-entry/src/admin.rs
@@ -12,7 +12,7 @@
 use bilberry_node::read_body;
 use bilberry_platform::Platform;
 use bilberry_wire::Body;
-use bilberry_wire::DrainAsk;
+use bilberry_wire::DrainRequest;
 use hyper::HeaderMap;
 use hyper::Method;
 use hyper::Request;
@@ -113,9 +113,9 @@
             let message = format!("no sidecar of `{upstream}` is known; see `status`");
             ApiError::not_run(ErrorKind::NotFound, "upstream_not_found", message)
         })?;
-        let ask = Body::DrainAsk(DrainAsk { upstream: upstream.to_string() });
+        let ask = Body::DrainRequest(DrainRequest { upstream: upstream.to_string() });
         match self.entry.links.ask(sidecar.address, ask, DRAIN_TIMEOUT).await {
-            Ok(Body::DrainAnswer(answer)) => {
+            Ok(Body::DrainResponse(answer)) => {
                 // This entry stops routing to the upstream immediately; other entries
                 // learn of the drain from the sidecar's answers and the exchange of
                 // members between peers.
--- a/crates/bilberry-entry/src/entry.rs
+++ b/crates/bilberry-entry/src/entry.rs
@@ -22,7 +22,7 @@
 use bilberry_platform::Platform;
 use bilberry_wire::Body;
 use bilberry_wire::Role;
-use bilberry_wire::StatusAnswer;
+use bilberry_wire::StatusResponse;
 use hyper::HeaderMap;
 use tokio_util::task::TaskTracker;
 
@@ -152,12 +152,12 @@
 impl<P: Platform, K: Knowledge> PeerHandler for Entry<P, K> {
     async fn handle(&self, body: Body, reply: Reply) {
         let answer = match body {
-            Body::StatusAsk(_) => Some(Body::StatusAnswer(StatusAnswer {
+            Body::StatusRequest(_) => Some(Body::StatusResponse(StatusResponse {
                 member: Some(self.node.member()),
                 revision: self.node.config.revision(),
                 in_progress: self.tasks.len() as u64,
                 platform_ok: self.platform.is_up(),
-                ..StatusAnswer::default()
+                ..StatusResponse::default()
             })),
             body => self.node.answer_common(body),
         };
--- a/crates/bilberry-entry/src/fleet.rs
+++ b/crates/bilberry-entry/src/fleet.rs
@@ -7,9 +7,9 @@
 use bilberry_node::Node;
 use bilberry_wire::Body;
 use bilberry_wire::Event;
-use bilberry_wire::EventsAsk;
+use bilberry_wire::EventsRequest;
 use bilberry_wire::Role;
-use bilberry_wire::StatusAnswer;
+use bilberry_wire::StatusResponse;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use serde::Deserialize;
@@ -74,17 +74,17 @@
         .by_process
         .values()
         .map(|member| async move {
-            let body = Body::StatusAsk(true);
+            let body = Body::StatusRequest(true);
             let response = match member.address.parse::<SocketAddr>() {
                 Ok(address) => links.ask(address, body, QUERY_TIMEOUT).await.ok(),
                 Err(_) => None,
             };
             let answer = match response {
-                Some(Body::StatusAnswer(answer)) => Some(answer),
+                Some(Body::StatusResponse(answer)) => Some(answer),
                 _ => None,
             };
             let answers = answer.is_some();
-            let StatusAnswer { member: reported, .. } =
+            let StatusResponse { member: reported, .. } =
                 answer.clone().unwrap_or_default();
             let answer = answer.unwrap_or_default();
             let role = if member.role() == Role::Entry { "entry" } else { "sidecar" };
@@ -118,15 +118,15 @@
     links: &Links,
     request: &str,
 ) -> Vec<TimelineEvent> {
-    let ask = EventsAsk { request: request.to_string(), most: MAX_EVENTS };
+    let ask = EventsRequest { request: request.to_string(), most: MAX_EVENTS };
     let others = node.members.current().others(&node.process());
     let mut queries: FuturesUnordered<_> = others
         .into_iter()
-        .map(|peer| links.ask(peer, Body::EventsAsk(ask.clone()), QUERY_TIMEOUT))
+        .map(|peer| links.ask(peer, Body::EventsRequest(ask.clone()), QUERY_TIMEOUT))
         .collect();
     let mut events = node.events.recent(request, MAX_EVENTS as usize);
     while let Some(answer) = queries.next().await {
-        if let Ok(Body::EventsAnswer(answer)) = answer {
+        if let Ok(Body::EventsResponse(answer)) = answer {
             events.extend(answer.events);
         }
     }
--- a/crates/bilberry-entry/src/plain/attempt.rs
+++ b/crates/bilberry-entry/src/plain/attempt.rs
@@ -10,8 +10,8 @@
 use bilberry_platform::Platform;
 use bilberry_wire::Body;
 use bilberry_wire::Dispatch;
-use bilberry_wire::Kind;
 use bilberry_wire::PlainAnswer;
+use bilberry_wire::RequestKind;
 use tokio::time::timeout;
 
 use crate::ApiError;
@@ -111,7 +111,7 @@
     Dispatch {
         request: admitted.id.clone(),
         attempt_token: rand::random(),
-        kind: Kind::Plain.into(),
+        kind: RequestKind::Plain.into(),
         customer: admitted.customer.name.to_string(),
         weight: admitted.customer.weight,
         priority: u32::from(admitted.customer.priority),
--- a/crates/bilberry-entry/src/run/attempt.rs
+++ b/crates/bilberry-entry/src/run/attempt.rs
@@ -11,7 +11,7 @@
 use bilberry_platform::Platform;
 use bilberry_wire::Body;
 use bilberry_wire::Dispatch;
-use bilberry_wire::Kind;
+use bilberry_wire::RequestKind;
 
 use crate::ApiError;
 use crate::Choice;
@@ -113,7 +113,7 @@
             request: self.params.id.clone(),
             attempt_token: rand::random(),
             attempt,
-            kind: Kind::Completion.into(),
+            kind: RequestKind::Completion.into(),
             customer: self.params.customer.name.to_string(),
             cache_scope: self.params.customer.name.to_string(),
             weight: self.params.customer.weight,
--- a/crates/bilberry-gateway/src/feeds.rs
+++ b/crates/bilberry-gateway/src/feeds.rs
@@ -12,7 +12,7 @@
 use bilberry_wire::Body;
 use bilberry_wire::Frame;
 use bilberry_wire::FrameCodec;
-use bilberry_wire::WatchAnswer;
+use bilberry_wire::WatchResponse;
 use bilberry_wire::WireError;
 use futures_util::SinkExt;
 use futures_util::StreamExt;
@@ -220,7 +220,7 @@
                 gateway.merge_crash_notice(notice);
                 None
             }
-            Some(Body::WatchAnswer(answer)) => {
+            Some(Body::WatchResponse(answer)) => {
                 pending.resolve(call, answer);
                 None
             }
@@ -243,7 +243,7 @@
 #[derive(Debug, Default)]
 struct PendingQuestions {
     last_call: u64,
-    replies: HashMap<u64, oneshot::Sender<WatchAnswer>>,
+    replies: HashMap<u64, oneshot::Sender<WatchResponse>>,
 }
 
 impl PendingQuestions {
@@ -253,12 +253,12 @@
         self.replies.retain(|_, reply| !reply.is_closed());
         self.last_call += 1;
         self.replies.insert(self.last_call, question.reply);
-        let body = Some(Body::WatchAsk(question.ask));
+        let body = Some(Body::WatchRequest(question.ask));
         Frame { call: self.last_call, body, ..Frame::default() }
     }
 
     /// Passes an answer to the sender of its question.
-    fn resolve(&mut self, call: u64, answer: WatchAnswer) {
+    fn resolve(&mut self, call: u64, answer: WatchResponse) {
         if let Some(reply) = self.replies.remove(&call) {
             let _ = reply.send(answer);
         }
--- a/crates/bilberry-gateway/src/hubs.rs
+++ b/crates/bilberry-gateway/src/hubs.rs
@@ -9,8 +9,8 @@
 use bilberry_core::Name;
 use bilberry_core::UnixMs;
 use bilberry_core::choose_hub;
-use bilberry_wire::WatchAnswer;
-use bilberry_wire::WatchAsk;
+use bilberry_wire::WatchRequest;
+use bilberry_wire::WatchResponse;
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 use tokio::time::timeout;
@@ -39,8 +39,8 @@
 /// A question to a sidecar and the channel for its answer.
 #[derive(Debug)]
 pub(crate) struct HubQuestion {
-    pub(crate) ask: WatchAsk,
-    pub(crate) reply: oneshot::Sender<WatchAnswer>,
+    pub(crate) ask: WatchRequest,
+    pub(crate) reply: oneshot::Sender<WatchResponse>,
 }
 
 /// The registration of a connected sidecar, which is removed on drop.
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum HubReply {
     /// The hub's answer.
-    Answer(WatchAnswer),
+    Answer(WatchResponse),
     /// The hub did not answer in time, or its connection was lost.
     Silent,
     /// No sidecar is chosen to watch for this entry.
@@ -91,7 +91,7 @@
 impl<D: Dialect, C: Clock> Gateway<D, C> {
     /// Sends a question to the sidecar that watches the store for this data centre's
     /// entries.
-    pub async fn ask_hub(&self, ask: WatchAsk, until: UnixMs) -> HubReply {
+    pub async fn ask_hub(&self, ask: WatchRequest, until: UnixMs) -> HubReply {
         let entries = self.entries.lock().unwrap().get().unwrap_or_default();
         let Some(questions) = self.hubs.choose(&self.settings.place, entries) else {
             return HubReply::NoHub;
--- a/crates/bilberry-gateway/src/readings.rs
+++ b/crates/bilberry-gateway/src/readings.rs
@@ -6,7 +6,7 @@
 use bilberry_core::UnixMs;
 use bilberry_core::most_wait_for_parts_ms;
 use bilberry_wire::Body;
-use bilberry_wire::PartReading;
+use bilberry_wire::PrefillNotice;
 use bilberry_wire::ReadingNotice;
 
 use crate::Dialect;
@@ -56,9 +56,9 @@
         let done_in_ms = |tokens: u64| {
             self.pace.read_ms(&job.pool.name, tokens_ahead + tokens) + READING_SLACK_MS
         };
-        let begun: Vec<PartReading> = keys
+        let begun: Vec<PrefillNotice> = keys
             .parts_after(supplied_tokens)
-            .map(|(part, end)| PartReading {
+            .map(|(part, end)| PrefillNotice {
                 part,
                 done_in_ms: done_in_ms(end - supplied_tokens),
             })
@@ -98,7 +98,7 @@
     pub(crate) fn note_readings(
         &self,
         upstream: &Upstream,
-        begun: &[PartReading],
+        begun: &[PrefillNotice],
         now: UnixMs,
     ) {
         let mut readings = self.readings.lock().unwrap();
--- a/crates/bilberry-node/src/common.rs
+++ b/crates/bilberry-node/src/common.rs
@@ -1,10 +1,10 @@
 //! Handlers for the peer calls that do not depend on the process's role.
 
 use bilberry_wire::Body;
-use bilberry_wire::EventsAnswer;
-use bilberry_wire::PiecesAnswer;
-use bilberry_wire::StateAnswer;
-use bilberry_wire::StateAsk;
+use bilberry_wire::EventsResponse;
+use bilberry_wire::PiecesResponse;
+use bilberry_wire::StateRequest;
+use bilberry_wire::StateResponse;
 
 use crate::Node;
 
@@ -13,20 +13,20 @@
     pub fn answer_common(&self, body: Body) -> Option<Body> {
         match body {
             Body::Ping(_) => Some(Body::Pong(true)),
-            Body::StateAsk(ask) => Some(Body::StateAnswer(self.answer_state(&ask))),
-            Body::PiecesAsk(ask) => {
+            Body::StateRequest(ask) => Some(Body::StateResponse(self.answer_state(&ask))),
+            Body::PiecesRequest(ask) => {
                 let pieces = self.config.in_force().wire_pieces(&ask.hashes);
-                Some(Body::PiecesAnswer(PiecesAnswer { pieces }))
+                Some(Body::PiecesResponse(PiecesResponse { pieces }))
             }
-            Body::EventsAsk(ask) => {
+            Body::EventsRequest(ask) => {
                 let events = self.events.recent(&ask.request, ask.most as usize);
-                Some(Body::EventsAnswer(EventsAnswer { events }))
+                Some(Body::EventsResponse(EventsResponse { events }))
             }
             _ => None,
         }
     }
 
-    fn answer_state(&self, ask: &StateAsk) -> StateAnswer {
+    fn answer_state(&self, ask: &StateRequest) -> StateResponse {
         let in_force = self.config.in_force();
         let members = self.members.current();
         let head = match in_force.head.revision > ask.have_revision {
@@ -37,6 +37,6 @@
             true => Vec::new(),
             false => members.by_process.values().cloned().collect(),
         };
-        StateAnswer { head, members }
+        StateResponse { head, members }
     }
 }
--- a/crates/bilberry-node/src/exchange.rs
+++ b/crates/bilberry-node/src/exchange.rs
@@ -8,8 +8,8 @@
 use bilberry_platform::Platform;
 use bilberry_wire::Body;
 use bilberry_wire::Piece;
-use bilberry_wire::PiecesAsk;
-use bilberry_wire::StateAsk;
+use bilberry_wire::PiecesRequest;
+use bilberry_wire::StateRequest;
 use rand::seq::IndexedRandom;
 use tokio::sync::Semaphore;
 use xtra::prelude::*;
@@ -103,12 +103,12 @@
 
     /// Requests a peer's state and passes it to the actor.
     async fn exchange_with(&self, peer: SocketAddr) {
-        let ask = StateAsk {
+        let ask = StateRequest {
             have_revision: self.node.config.revision(),
             members_digest: self.node.members.current().digest,
         };
-        let asked = self.links.ask(peer, Body::StateAsk(ask), ASK_TIMEOUT).await;
-        let Ok(Body::StateAnswer(answer)) = asked else { return };
+        let asked = self.links.ask(peer, Body::StateRequest(ask), ASK_TIMEOUT).await;
+        let Ok(Body::StateResponse(answer)) = asked else { return };
         self.node.merge_members(answer.members);
         if answer.head.is_empty() {
             return;
@@ -129,9 +129,9 @@
             .collect();
         let mut pieces = Vec::new();
         while !missing.is_empty() {
-            let ask = Body::PiecesAsk(PiecesAsk { hashes: missing.clone() });
+            let ask = Body::PiecesRequest(PiecesRequest { hashes: missing.clone() });
             let asked = self.links.ask(peer, ask, ASK_TIMEOUT).await;
-            let Ok(Body::PiecesAnswer(answer)) = asked else { break };
+            let Ok(Body::PiecesResponse(answer)) = asked else { break };
             if answer.pieces.is_empty() {
                 break;
             }
--- a/crates/bilberry-sidecar/src/sidecar.rs
+++ b/crates/bilberry-sidecar/src/sidecar.rs
@@ -16,13 +16,13 @@
 use bilberry_platform::Platform;
 use bilberry_wire::Body;
 use bilberry_wire::Dispatch;
-use bilberry_wire::DrainAnswer;
-use bilberry_wire::DrainAsk;
-use bilberry_wire::Kind;
+use bilberry_wire::DrainRequest;
+use bilberry_wire::DrainResponse;
 use bilberry_wire::Probe;
 use bilberry_wire::ProbeAnswer;
 use bilberry_wire::Readiness;
-use bilberry_wire::StatusAnswer;
+use bilberry_wire::RequestKind;
+use bilberry_wire::StatusResponse;
 
 use crate::Admission;
 use crate::Engine;
@@ -180,21 +180,21 @@
             return;
         }
         match dispatch.kind() {
-            Kind::Completion => self.serve_completion(dispatch, reply).await,
-            Kind::Plain => self.serve_plain(dispatch, reply).await,
+            RequestKind::Completion => self.serve_completion(dispatch, reply).await,
+            RequestKind::Plain => self.serve_plain(dispatch, reply).await,
         }
     }
 
-    fn answer_drain(&self, ask: &DrainAsk) -> DrainAnswer {
+    fn answer_drain(&self, ask: &DrainRequest) -> DrainResponse {
         // The address may have been reassigned to the sidecar of another upstream.
         if ask.upstream == self.upstream {
             self.node.leave("drained by an operator");
         }
-        DrainAnswer { in_progress: self.in_progress() as u64 }
+        DrainResponse { in_progress: self.in_progress() as u64 }
     }
 
-    fn answer_status(&self) -> StatusAnswer {
-        StatusAnswer {
+    fn answer_status(&self) -> StatusResponse {
+        StatusResponse {
             member: Some(self.node.member()),
             revision: self.node.config.revision(),
             in_progress: self.admission.running() as u64,
@@ -212,8 +212,8 @@
         let answer = match body {
             Body::Dispatch(dispatch) => return self.serve(dispatch, reply).await,
             Body::Probe(probe) => Body::ProbeAnswer(self.answer_probe(&probe)),
-            Body::DrainAsk(ask) => Body::DrainAnswer(self.answer_drain(&ask)),
-            Body::StatusAsk(_) => Body::StatusAnswer(self.answer_status()),
+            Body::DrainRequest(ask) => Body::DrainResponse(self.answer_drain(&ask)),
+            Body::StatusRequest(_) => Body::StatusResponse(self.answer_status()),
             body => match self.node.answer_common(body) {
                 Some(answer) => answer,
                 None => return,
--- a/crates/bilberry-steward/src/feed.rs
+++ b/crates/bilberry-steward/src/feed.rs
@@ -13,8 +13,8 @@
 use bilberry_wire::FrameCodec;
 use bilberry_wire::StoreChange;
 use bilberry_wire::UpstreamState;
-use bilberry_wire::WatchAnswer;
-use bilberry_wire::WatchAsk;
+use bilberry_wire::WatchRequest;
+use bilberry_wire::WatchResponse;
 use bilberry_wire::WireError;
 use futures_util::SinkExt;
 use futures_util::StreamExt;
@@ -205,7 +205,7 @@
                             feed.crashes.merge(notice, feed.clock.now());
                             continue;
                         }
-                        Some(Body::WatchAsk(request)) if watches.len() < MAX_PENDING_WATCHES => {
+                        Some(Body::WatchRequest(request)) if watches.len() < MAX_PENDING_WATCHES => {
                             watches.push(answer_watch(feed.hub.clone(), call, request));
                             continue;
                         }
@@ -232,10 +232,10 @@
 async fn answer_watch<S: WatchSource, C: Clock>(
     hub: Arc<WatchHub<S, C>>,
     call: u64,
-    request: WatchAsk,
+    request: WatchRequest,
 ) -> Frame {
-    let answer: WatchAnswer = hub.answer(request).await;
-    Frame { call, body: Some(Body::WatchAnswer(answer)), ..Frame::default() }
+    let answer: WatchResponse = hub.answer(request).await;
+    Frame { call, body: Some(Body::WatchResponse(answer)), ..Frame::default() }
 }
 
 /// The subscription of one entry to a cache.
--- a/crates/bilberry-steward/src/watch_hub.rs
+++ b/crates/bilberry-steward/src/watch_hub.rs
@@ -12,14 +12,14 @@
 
 use bilberry_core::Clock;
 use bilberry_core::Name;
+use bilberry_core::PendingWatch;
 use bilberry_core::StorePosition;
 use bilberry_core::UnixMs;
 use bilberry_core::WatchReply;
-use bilberry_core::WatchRequest;
 use bilberry_core::WatchResult;
-use bilberry_wire::WatchAnswer;
-use bilberry_wire::WatchAsk;
 use bilberry_wire::WatchOutcome;
+use bilberry_wire::WatchRequest;
+use bilberry_wire::WatchResponse;
 use bytes::Bytes;
 use thiserror::Error;
 use tokio::sync::broadcast;
@@ -97,7 +97,7 @@
     /// Whether the last call failed.
     failing: bool,
     /// The most recent request.
-    request: WatchAsk,
+    request: WatchRequest,
     requested_at: UnixMs,
     outcomes: broadcast::Sender<Outcome>,
 }
@@ -111,7 +111,7 @@
 
 impl SharedWatch {
     /// Answers a client that lags with the last change, if it has missed no other.
-    fn answer_with_last_change(&self, question: WatchRequest) -> WatchAnswer {
+    fn answer_with_last_change(&self, question: PendingWatch) -> WatchResponse {
         let missed_no_other =
             |last: &&LastChange| !question.is_behind(last.unchanged_since);
         let last = self.last_change.as_ref().filter(missed_no_other);
@@ -141,9 +141,9 @@
     }
 
     /// Answers a request once a call to the store has an outcome for it.
-    pub async fn answer(self: Arc<Self>, request: WatchAsk) -> WatchAnswer {
+    pub async fn answer(self: Arc<Self>, request: WatchRequest) -> WatchResponse {
         let arrived_at = self.clock.now();
-        let question = WatchRequest { position: request.position(), arrived_at };
+        let question = PendingWatch { position: request.position(), arrived_at };
         let mut outcomes = match self.subscribe(request, question) {
             Ok(outcomes) => outcomes,
             Err(answer) => return answer,
@@ -151,7 +151,9 @@
         loop {
             let reply = match outcomes.recv().await {
                 Ok(Outcome::Update(update)) => question.hear(&update),
-                Ok(Outcome::Failed) => return answer_without_changes(WatchOutcome::Lost),
+                Ok(Outcome::Failed) => {
+                    return answer_without_changes(WatchOutcome::StoreUnavailable);
+                }
                 Ok(Outcome::HistoryLost) | Err(_) => Some(WatchReply::OutOfSync),
             };
             if let Some(reply) = reply {
@@ -165,9 +167,9 @@
     /// Returns an answer instead if the request can be answered immediately.
     fn subscribe(
         self: &Arc<Self>,
-        request: WatchAsk,
-        question: WatchRequest,
-    ) -> Result<broadcast::Receiver<Outcome>, WatchAnswer> {
+        request: WatchRequest,
+        question: PendingWatch,
+    ) -> Result<broadcast::Receiver<Outcome>, WatchResponse> {
         let mut watches = self.watches.lock().unwrap();
         let kind = Name::from(&request.kind);
         let is_full = watches.len() >= MAX_WATCHED_KINDS;
@@ -179,13 +181,13 @@
                     // The last call failed, so the client should not wait for another
                     // call that is likely to fail.
                     () if shared.failing => {
-                        Err(answer_without_changes(WatchOutcome::Lost))
+                        Err(answer_without_changes(WatchOutcome::StoreUnavailable))
                     }
                     // The client does not support eras, so it could not learn the era
                     // from the store either. It would alternate between the store and
                     // this hub without a delay.
                     () if question.knows_no_era_of(shared.unchanged_since) => {
-                        Err(answer_without_changes(WatchOutcome::Lost))
+                        Err(answer_without_changes(WatchOutcome::StoreUnavailable))
                     }
                     () if question.is_behind(shared.unchanged_since) => {
                         Err(shared.answer_with_last_change(question))
@@ -193,7 +195,9 @@
                     () => Ok(shared.outcomes.subscribe()),
                 }
             }
-            None if is_full => Err(answer_without_changes(WatchOutcome::Lost)),
+            None if is_full => {
+                Err(answer_without_changes(WatchOutcome::StoreUnavailable))
+            }
             None => {
                 let (outcomes, receiver) = broadcast::channel(OUTCOME_BUFFER);
                 let position = question.position;
@@ -295,20 +299,20 @@
     }
 }
 
-fn into_answer(reply: WatchReply<Bytes>) -> WatchAnswer {
+fn into_answer(reply: WatchReply<Bytes>) -> WatchResponse {
     let (outcome, position, known_ms, news) = match reply {
         WatchReply::Changes { position, news, known_ms } => {
-            (WatchOutcome::News, position, known_ms, news)
+            (WatchOutcome::Changed, position, known_ms, news)
         }
         WatchReply::Unchanged { position, known_ms } => {
-            (WatchOutcome::Quiet, position, known_ms, Bytes::new())
+            (WatchOutcome::Unchanged, position, known_ms, Bytes::new())
         }
-        WatchReply::OutOfSync => return answer_without_changes(WatchOutcome::OutOfStep),
+        WatchReply::OutOfSync => return answer_without_changes(WatchOutcome::OutOfSync),
     };
     let StorePosition { era, revision } = position;
-    WatchAnswer { outcome: outcome.into(), revision, known_ms, news, era }
+    WatchResponse { outcome: outcome.into(), revision, known_ms, news, era }
 }
 
-fn answer_without_changes(outcome: WatchOutcome) -> WatchAnswer {
-    WatchAnswer { outcome: outcome.into(), ..WatchAnswer::default() }
+fn answer_without_changes(outcome: WatchOutcome) -> WatchResponse {
+    WatchResponse { outcome: outcome.into(), ..WatchResponse::default() }
 }
--- a/crates/bilberry-steward/tests/watch_hub.rs
+++ b/crates/bilberry-steward/tests/watch_hub.rs
@@ -10,9 +10,9 @@
 use bilberry_steward::SourceLost;
 use bilberry_steward::WatchHub;
 use bilberry_steward::WatchSource;
-use bilberry_wire::WatchAnswer;
-use bilberry_wire::WatchAsk;
 use bilberry_wire::WatchOutcome;
+use bilberry_wire::WatchRequest;
+use bilberry_wire::WatchResponse;
 use bytes::Bytes;
 use tokio::sync::Mutex as AsyncMutex;
 use tokio::sync::mpsc;
@@ -66,14 +66,14 @@
     }
 
     /// Sends a request and waits until the hub has received it.
-    async fn request(&self, revision: u64) -> JoinHandle<WatchAnswer> {
+    async fn request(&self, revision: u64) -> JoinHandle<WatchResponse> {
         self.request_from(at(None, revision)).await
     }
 
     /// Sends a request from a position and waits until the hub has received it.
-    async fn request_from(&self, position: StorePosition) -> JoinHandle<WatchAnswer> {
+    async fn request_from(&self, position: StorePosition) -> JoinHandle<WatchResponse> {
         let StorePosition { era, revision } = position;
-        let request = WatchAsk {
+        let request = WatchRequest {
             kind: "config".to_string(),
             revision,
             wait_ms: 1_000,
@@ -110,7 +110,7 @@
     Ok(SourceAnswer::Quiet(at(None, revision)))
 }
 
-async fn response(pending: JoinHandle<WatchAnswer>) -> WatchAnswer {
+async fn response(pending: JoinHandle<WatchResponse>) -> WatchResponse {
     pending.await.expect("the hub panicked")
 }
 
@@ -127,7 +127,7 @@
     fixture.respond(changed(9, "changes"));
     for request in pending {
         let answer = response(request).await;
-        assert_eq!(answer.outcome(), WatchOutcome::News);
+        assert_eq!(answer.outcome(), WatchOutcome::Changed);
         assert_eq!((answer.revision, answer.news.as_ref()), (9, &b"changes"[..]));
         // The call was made when the request arrived, so the answer says nothing about any
         // later time.
@@ -143,11 +143,11 @@
     fixture.respond(changed(9, "changes"));
     response(first).await;
     let behind = response(fixture.request(8).await).await;
-    assert_eq!(behind.outcome(), WatchOutcome::OutOfStep);
+    assert_eq!(behind.outcome(), WatchOutcome::OutOfSync);
     let up_to_date = fixture.request(9).await;
     fixture.respond(unchanged(12));
     let answer = response(up_to_date).await;
-    assert_eq!((answer.outcome(), answer.revision), (WatchOutcome::Quiet, 12));
+    assert_eq!((answer.outcome(), answer.revision), (WatchOutcome::Unchanged, 12));
 }
 
 #[tokio::test]
@@ -157,8 +157,11 @@
     let fixture = Fixture::new();
     let waiting = fixture.request(7).await;
     fixture.respond(Err(SourceLost("cut off".to_string())));
-    assert_eq!(response(waiting).await.outcome(), WatchOutcome::Lost);
-    assert_eq!(response(fixture.request(7).await).await.outcome(), WatchOutcome::Lost);
+    assert_eq!(response(waiting).await.outcome(), WatchOutcome::StoreUnavailable);
+    assert_eq!(
+        response(fixture.request(7).await).await.outcome(),
+        WatchOutcome::StoreUnavailable
+    );
     // The hub's next call does not wait for changes. Once it succeeds, the hub answers
     // requests again.
     fixture.respond(unchanged(8));
@@ -174,7 +177,7 @@
     );
     let again = fixture.request(8).await;
     fixture.respond(changed(11, "later"));
-    assert_eq!(response(again).await.outcome(), WatchOutcome::News);
+    assert_eq!(response(again).await.outcome(), WatchOutcome::Changed);
 }
 
 #[tokio::test]
@@ -187,7 +190,7 @@
     fixture.respond(changed(9, "changes"));
     response(other).await;
     let late = response(fixture.request(7).await).await;
-    assert_eq!(late.outcome(), WatchOutcome::News);
+    assert_eq!(late.outcome(), WatchOutcome::Changed);
     assert_eq!((late.revision, late.news), (9, "changes".into()));
     // The answer is as old as the call that returned the change.
     assert_eq!(late.known_ms, 0);
@@ -196,7 +199,7 @@
     fixture.respond(changed(11, "more"));
     response(next).await;
     let behind = response(fixture.request(7).await).await;
-    assert_eq!(behind.outcome(), WatchOutcome::OutOfStep);
+    assert_eq!(behind.outcome(), WatchOutcome::OutOfSync);
 }
 
 #[tokio::test]
@@ -204,7 +207,7 @@
     let fixture = Fixture::new();
     let waiting = fixture.request(7).await;
     fixture.respond(Ok(SourceAnswer::HistoryLost));
-    assert_eq!(response(waiting).await.outcome(), WatchOutcome::OutOfStep);
+    assert_eq!(response(waiting).await.outcome(), WatchOutcome::OutOfSync);
     // The next request starts a new watch.
     let again = fixture.request(20).await;
     fixture.respond(changed(21, "later"));
@@ -216,13 +219,14 @@
     // A faulty peer that requests more and more kinds must not cause a call for each.
     let fixture = Fixture::new();
     for number in 0..20 {
-        let request = WatchAsk { kind: format!("kind-{number}"), ..WatchAsk::default() };
+        let request =
+            WatchRequest { kind: format!("kind-{number}"), ..WatchRequest::default() };
         tokio::spawn(fixture.hub.clone().answer(request));
     }
     tokio::task::yield_now().await;
-    let request = WatchAsk { kind: "config".to_string(), ..WatchAsk::default() };
+    let request = WatchRequest { kind: "config".to_string(), ..WatchRequest::default() };
     let refused = fixture.hub.clone().answer(request).await;
-    assert_eq!(refused.outcome(), WatchOutcome::Lost);
+    assert_eq!(refused.outcome(), WatchOutcome::StoreUnavailable);
     assert!(fixture.calls().len() <= 8);
 }
 
@@ -234,15 +238,15 @@
     let fixture = Fixture::new();
     let waiting = fixture.request_from(at(Some(1), 12)).await;
     fixture.respond(changed_to(at(Some(2), 14), "changes"));
-    assert_eq!(response(waiting).await.outcome(), WatchOutcome::OutOfStep);
+    assert_eq!(response(waiting).await.outcome(), WatchOutcome::OutOfSync);
     // The entry lists the objects and continues from the era of the listing.
     let again = fixture.request_from(at(Some(2), 11)).await;
     fixture.respond(changed_to(at(Some(2), 14), "later"));
     let answer = response(again).await;
-    assert_eq!((answer.outcome(), answer.era), (WatchOutcome::News, Some(2)));
+    assert_eq!((answer.outcome(), answer.era), (WatchOutcome::Changed, Some(2)));
     // An entry in an earlier era must query the store too, whatever its revision.
     let late = response(fixture.request_from(at(Some(1), 900)).await).await;
-    assert_eq!(late.outcome(), WatchOutcome::OutOfStep);
+    assert_eq!(late.outcome(), WatchOutcome::OutOfSync);
 }
 
 #[tokio::test]
@@ -254,10 +258,10 @@
     let first = fixture.request_from(at(Some(1), 12)).await;
     let ahead = fixture.request_from(at(Some(2), 5)).await;
     fixture.respond(Ok(SourceAnswer::Quiet(at(Some(1), 12))));
-    assert_eq!(response(first).await.outcome(), WatchOutcome::Quiet);
+    assert_eq!(response(first).await.outcome(), WatchOutcome::Unchanged);
     assert!(!ahead.is_finished());
     fixture.respond(Ok(SourceAnswer::Quiet(at(Some(2), 6))));
-    assert_eq!(response(ahead).await.outcome(), WatchOutcome::OutOfStep);
+    assert_eq!(response(ahead).await.outcome(), WatchOutcome::OutOfSync);
 }
 
 #[tokio::test]
@@ -267,5 +271,5 @@
     let fixture = Fixture::new();
     let _first = fixture.request_from(at(Some(1), 12)).await;
     let refused = response(fixture.request(12).await).await;
-    assert_eq!(refused.outcome(), WatchOutcome::Lost);
+    assert_eq!(refused.outcome(), WatchOutcome::StoreUnavailable);
 }
--- a/crates/bilberry-wire/src/dispatch.rs
+++ b/crates/bilberry-wire/src/dispatch.rs
@@ -7,7 +7,7 @@
     Debug, Copy, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration,
 )]
 #[repr(i32)]
-pub enum Kind {
+pub enum RequestKind {
     /// A completion that an engine streams.
     Completion = 0,
     /// A call to a plain service.
@@ -27,7 +27,7 @@
     #[prost(uint32, tag = "3")]
     pub attempt: u32,
     /// The type of the request.
-    #[prost(enumeration = "Kind", tag = "4")]
+    #[prost(enumeration = "RequestKind", tag = "4")]
     pub kind: i32,
     /// The customer.
     #[prost(string, tag = "5")]
--- a/crates/bilberry-wire/src/feed.rs
+++ b/crates/bilberry-wire/src/feed.rs
@@ -87,7 +87,7 @@
 pub struct ReadingNotice {
     /// Parts that the upstream starts to read.
     #[prost(message, repeated, tag = "1")]
-    pub begun: Vec<PartReading>,
+    pub begun: Vec<PrefillNotice>,
     /// Parts that have been read, as hashes of salt and part.
     #[prost(fixed64, repeated, tag = "2")]
     pub read: Vec<u64>,
@@ -98,7 +98,7 @@
 
 /// A prompt part that is being read.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct PartReading {
+pub struct PrefillNotice {
     /// The part, as a hash of salt and part.
     #[prost(fixed64, tag = "1")]
     pub part: u64,
@@ -137,7 +137,7 @@
     pub born_ms: Option<u64>,
     /// Parts that the upstream has started to read.
     #[prost(message, repeated, tag = "5")]
-    pub reading: Vec<PartReading>,
+    pub reading: Vec<PrefillNotice>,
 }
 
 impl UpstreamState {
--- a/crates/bilberry-wire/src/frame.rs
+++ b/crates/bilberry-wire/src/frame.rs
@@ -4,26 +4,26 @@
 use crate::Chunk;
 use crate::CrashNotice;
 use crate::Dispatch;
-use crate::DrainAnswer;
-use crate::DrainAsk;
+use crate::DrainRequest;
+use crate::DrainResponse;
 use crate::EntryNotice;
-use crate::EventsAnswer;
-use crate::EventsAsk;
+use crate::EventsRequest;
+use crate::EventsResponse;
 use crate::Finished;
-use crate::PiecesAnswer;
-use crate::PiecesAsk;
+use crate::PiecesRequest;
+use crate::PiecesResponse;
 use crate::PlainAnswer;
 use crate::Probe;
 use crate::ProbeAnswer;
 use crate::ReadingNotice;
 use crate::Refused;
-use crate::StateAnswer;
-use crate::StateAsk;
-use crate::StatusAnswer;
+use crate::StateRequest;
+use crate::StateResponse;
+use crate::StatusResponse;
 use crate::StoreChange;
 use crate::UpstreamState;
-use crate::WatchAnswer;
-use crate::WatchAsk;
+use crate::WatchRequest;
+use crate::WatchResponse;
 
 /// A message and its envelope.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -87,34 +87,34 @@
     Cancel(bool),
     /// Requests the configuration and the members.
     #[prost(message, tag = "16")]
-    StateAsk(StateAsk),
+    StateRequest(StateRequest),
     /// Returns the configuration and the members.
     #[prost(message, tag = "17")]
-    StateAnswer(StateAnswer),
+    StateResponse(StateResponse),
     /// Requests recorded events.
     #[prost(message, tag = "18")]
-    EventsAsk(EventsAsk),
+    EventsRequest(EventsRequest),
     /// Returns recorded events.
     #[prost(message, tag = "19")]
-    EventsAnswer(EventsAnswer),
+    EventsResponse(EventsResponse),
     /// Requests the state of a process.
     #[prost(bool, tag = "20")]
-    StatusAsk(bool),
+    StatusRequest(bool),
     /// Returns the state of a process.
     #[prost(message, tag = "21")]
-    StatusAnswer(StatusAnswer),
+    StatusResponse(StatusResponse),
     /// Asks a sidecar to stop accepting new work.
     #[prost(message, tag = "22")]
-    DrainAsk(DrainAsk),
+    DrainRequest(DrainRequest),
     /// Answers a drain with the number of requests still in progress.
     #[prost(message, tag = "23")]
-    DrainAnswer(DrainAnswer),
+    DrainResponse(DrainResponse),
     /// Requests pieces of the configuration.
     #[prost(message, tag = "24")]
-    PiecesAsk(PiecesAsk),
+    PiecesRequest(PiecesRequest),
     /// Returns pieces of the configuration.
     #[prost(message, tag = "25")]
-    PiecesAnswer(PiecesAnswer),
+    PiecesResponse(PiecesResponse),
     /// Notifies an entry of the state of an upstream.
     #[prost(message, tag = "26")]
     UpstreamState(UpstreamState),
@@ -134,10 +134,10 @@
     ReadingNotice(ReadingNotice),
     /// Requests changes of the platform's store from a sidecar.
     #[prost(message, tag = "32")]
-    WatchAsk(WatchAsk),
+    WatchRequest(WatchRequest),
     /// Returns changes of the platform's store.
     #[prost(message, tag = "33")]
-    WatchAnswer(WatchAnswer),
+    WatchResponse(WatchResponse),
     /// Reports requests that were running when an upstream crashed; sent in both
     /// directions.
     #[prost(message, tag = "34")]
--- a/crates/bilberry-wire/src/shared_watch.rs
+++ b/crates/bilberry-wire/src/shared_watch.rs
@@ -7,7 +7,7 @@
 ///
 /// The answer carries the call number of the request's frame.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct WatchAsk {
+pub struct WatchRequest {
     /// The kind of object.
     #[prost(string, tag = "1")]
     pub kind: String,
@@ -26,7 +26,7 @@
     pub era: Option<u64>,
 }
 
-impl WatchAsk {
+impl WatchRequest {
     /// Returns the position up to which the requester has all changes.
     pub fn position(&self) -> StorePosition {
         StorePosition { era: self.era, revision: self.revision }
@@ -40,18 +40,18 @@
 #[repr(i32)]
 pub enum WatchOutcome {
     /// The sidecar cannot get an answer from the store.
-    Lost = 0,
+    StoreUnavailable = 0,
     /// The requester has to query the store directly once to catch up.
-    OutOfStep = 1,
+    OutOfSync = 1,
     /// Nothing has changed.
-    Quiet = 2,
+    Unchanged = 2,
     /// Something has changed.
-    News = 3,
+    Changed = 3,
 }
 
 /// Answers a request for changes.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct WatchAnswer {
+pub struct WatchResponse {
     /// The outcome.
     #[prost(enumeration = "WatchOutcome", tag = "1")]
     pub outcome: i32,
--- a/crates/bilberry-wire/src/state.rs
+++ b/crates/bilberry-wire/src/state.rs
@@ -14,7 +14,7 @@
 
 /// Requests the configuration and the members known to a peer.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct StateAsk {
+pub struct StateRequest {
     /// The revision in force at the requester, whose pieces need not be sent.
     #[prost(uint64, tag = "1")]
     pub have_revision: u64,
@@ -25,7 +25,7 @@
 
 /// The configuration and the members known to a peer.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct StateAnswer {
+pub struct StateResponse {
     /// The value of the head object; empty if the requester has this revision.
     #[prost(string, tag = "1")]
     pub head: String,
@@ -36,7 +36,7 @@
 
 /// Requests pieces of the configuration.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct PiecesAsk {
+pub struct PiecesRequest {
     /// The hashes of the pieces.
     #[prost(string, repeated, tag = "1")]
     pub hashes: Vec<String>,
@@ -44,7 +44,7 @@
 
 /// As many of the requested pieces as fit into a frame.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct PiecesAnswer {
+pub struct PiecesResponse {
     /// The pieces.
     #[prost(message, repeated, tag = "1")]
     pub pieces: Vec<Piece>,
@@ -92,7 +92,7 @@
 
 /// Requests recorded events.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct EventsAsk {
+pub struct EventsRequest {
     /// Return only events of this request; empty for all requests.
     #[prost(string, tag = "1")]
     pub request: String,
@@ -103,7 +103,7 @@
 
 /// Recorded events.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct EventsAnswer {
+pub struct EventsResponse {
     /// The events, earliest first.
     #[prost(message, repeated, tag = "1")]
     pub events: Vec<Event>,
@@ -131,7 +131,7 @@
 
 /// The state of a process.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct StatusAnswer {
+pub struct StatusResponse {
     /// The process.
     #[prost(message, optional, tag = "1")]
     pub member: Option<Member>,
@@ -160,7 +160,7 @@
 
 /// Asks a sidecar to stop accepting new work.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct DrainAsk {
+pub struct DrainRequest {
     /// The upstream to drain.
     #[prost(string, tag = "1")]
     pub upstream: String,
@@ -168,7 +168,7 @@
 
 /// Answers a drain.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct DrainAnswer {
+pub struct DrainResponse {
     /// The number of requests still in progress.
     #[prost(uint64, tag = "1")]
     pub in_progress: u64,
--- a/tests/tests/at_most_once.rs
+++ b/tests/tests/at_most_once.rs
@@ -13,8 +13,8 @@
 use bilberry_tests::eventually;
 use bilberry_wire::Body;
 use bilberry_wire::Dispatch;
-use bilberry_wire::Kind;
 use bilberry_wire::Member;
+use bilberry_wire::RequestKind;
 
 /// Default idempotency key.
 const KEY: &str = "schedule-42";
@@ -321,7 +321,7 @@
     let peer = fleet.sidecars[0].address("peers");
     let dispatch = Dispatch {
         attempt_token: 77,
-        kind: Kind::Plain.into(),
+        kind: RequestKind::Plain.into(),
         customer: "anna".to_string(),
         weight: 1,
         deadline_unix_ms: u64::MAX,
