--- a/crates/bilberry-gateway/examples/prompt_keys.rs
+++ b/crates/bilberry-gateway/examples/prompt_keys.rs
@@ -10,7 +10,7 @@
 use bilberry_core::StorePosition;
 use bilberry_core::UnixMs;
 use bilberry_core::part_key;
-use bilberry_gateway::Listed;
+use bilberry_gateway::Listing;
 use bilberry_gateway::PromptKeys;
 use bilberry_gateway::PromptPart;
 use bilberry_gateway::Upstream;
@@ -81,7 +81,7 @@
 }
 
 fn engine(number: u16) -> Upstream {
-    Upstream::new(&Listed {
+    Upstream::new(&Listing {
         id: format!("engine-{number}").into(),
         pool: "llm".into(),
         address: ([127, 0, 0, 1], number).into(),
--- a/crates/bilberry-gateway/src/backup.rs
+++ b/crates/bilberry-gateway/src/backup.rs
@@ -17,13 +17,13 @@
 use crate::CallKind;
 use crate::Dialect;
 use crate::Gateway;
-use crate::Job;
-use crate::MemoryCopy;
-use crate::Seat;
+use crate::KvCacheCopy;
+use crate::RequestContext;
+use crate::Reservation;
 use crate::Upstream;
 use crate::forward::UpstreamResponse;
-use crate::stopping::FirstRunEnd;
-use crate::stopping::RunTakeover;
+use crate::run_stop::FirstRunEnd;
+use crate::run_stop::RunTakeover;
 
 impl<D: Dialect, C: Clock> Gateway<D, C> {
     /// Chooses the engine that keeps a backup of the request's KV cache.
@@ -33,12 +33,12 @@
     /// take twice as long; then the one with the most free memory.
     pub(crate) fn choose_backup(
         &self,
-        job: &Job,
+        job: &RequestContext,
         main: &Upstream,
     ) -> Option<Arc<Upstream>> {
         let engine = job.pool.engine.filter(|engine| engine.keeps_backups)?;
         let model = job.call.model.as_deref()?;
-        if job.route.kind != CallKind::OnceStream {
+        if job.route.kind != CallKind::NonRepeatableStream {
             return None;
         }
         let now = self.clock.now();
@@ -58,7 +58,7 @@
     /// Returns the run that the engine with the backup can take over, if there is one.
     pub(crate) fn run_takeover(
         &self,
-        job: &Job,
+        job: &RequestContext,
         upstream: &Arc<Upstream>,
     ) -> Option<RunTakeover> {
         let successor = job.backup.clone()?;
@@ -80,7 +80,7 @@
     /// still run the request when the caller's deadline passes.
     pub(crate) async fn resume_from_backup(
         self: &Arc<Self>,
-        job: &mut Job,
+        job: &mut RequestContext,
         last_event: Option<u64>,
         upstream: &Arc<Upstream>,
         first_run_end: Option<FirstRunEnd>,
@@ -110,7 +110,7 @@
             }
             FirstRunEnd::Ended(_) => {
                 let name = job.call.attempt.clone();
-                MemoryCopy { named_by: backup.address, name }
+                KvCacheCopy { named_by: backup.address, name }
             }
         };
         let model = job.call.model.as_deref().unwrap_or_default();
@@ -139,7 +139,7 @@
             return None;
         }
         let changed = self.upstreams.changed.clone();
-        let seat = Seat::take(backup, job.call.memory_tokens(), 0, changed);
+        let seat = Reservation::take(backup, job.call.memory_tokens(), 0, changed);
         let last_event = last_event.or(job.call.last_event);
         let response = self.send_to_backup(job, seat, last_event, copy).await;
         self.metrics.count_send(match response {
--- a/crates/bilberry-gateway/src/passing.rs
+++ b/crates/bilberry-gateway/src/body_relay.rs
@@ -8,8 +8,8 @@
 
 use crate::Dialect;
 use crate::Gateway;
-use crate::Job;
-use crate::record::log_outcome;
+use crate::RequestContext;
+use crate::request_log::log_outcome;
 
 /// How many body chunks may be queued for a slow caller.
 pub(crate) const BODY_CHANNEL_CAPACITY: usize = 16;
@@ -37,7 +37,7 @@
 
 impl<D: Dialect, C: Clock> Gateway<D, C> {
     /// Records how long the caller waited for the first byte.
-    pub(crate) fn note_first_byte(&self, job: &mut Job) {
+    pub(crate) fn note_first_byte(&self, job: &mut RequestContext) {
         let first_byte_ms = self.clock.now().ms_since(job.arrived_at);
         job.first_byte_ms = Some(first_byte_ms);
         self.metrics.first_byte_seconds.observe(first_byte_ms as f64 / 1_000.0);
@@ -57,7 +57,7 @@
     }
 
     /// Counts and logs the outcome of a request.
-    pub(crate) fn record_outcome(&self, job: &Job, outcome: &'static str) {
+    pub(crate) fn record_outcome(&self, job: &RequestContext, outcome: &'static str) {
         self.metrics.count_request(outcome);
         if outcome == BodyEnd::Complete.outcome() {
             self.record_served(job);
--- a/crates/bilberry-gateway/src/call.rs
+++ b/crates/bilberry-gateway/src/call.rs
@@ -12,7 +12,7 @@
 
 /// The routing metadata in a caller's headers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Call {
+pub struct RequestMetadata {
     /// The caller's identifier of this attempt.
     pub attempt: Name,
     /// The caller's timeout, counted from the arrival of its request.
@@ -40,7 +40,7 @@
     pub tokens: u64,
 }
 
-impl Call {
+impl RequestMetadata {
     /// Returns the prompt parts that other requests may share.
     pub fn shared_parts(&self) -> &[PromptPart] {
         let shared = self.parts.len().saturating_sub(1);
@@ -61,7 +61,7 @@
 /// A request header that is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{header} is not valid: {reason}")]
-pub struct BadCall {
+pub struct InvalidHeader {
     /// The header.
     pub header: &'static str,
     /// What is wrong with the value and what is expected.
@@ -92,12 +92,12 @@
     /// The address to which the request's KV cache is copied as it grows.
     pub backup_to: Option<SocketAddr>,
     /// The copy of the request's KV cache to resume from.
-    pub resume_from: Option<MemoryCopy>,
+    pub resume_from: Option<KvCacheCopy>,
 }
 
 /// A reference to a copy of a request's KV cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct MemoryCopy {
+pub struct KvCacheCopy {
     /// The upstream that assigned the name.
     pub named_by: SocketAddr,
     /// The copy's name at that upstream; the attempt's name if it was copied during the
@@ -120,20 +120,20 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StopReply {
     /// The run has stopped, and the next upstream holds its KV cache under this name.
-    Moved(Name),
+    Transferred(Name),
     /// The run has stopped, but its KV cache could not be transferred.
     Stopped,
     /// There is no such run.
     NoSuchRun,
     /// The reply does not tell the state of the run.
-    Unclear,
+    Unknown,
 }
 
 /// The classification of an upstream's response.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ResponseClass {
     /// The upstream responded to this request.
-    Answered,
+    Valid,
     /// The upstream was full or the request arrived too late; the request did not run.
     Busy,
     /// The upstream has other weights than the request requires.
@@ -141,7 +141,7 @@
     /// Another upstream now has the address; the intended one is gone.
     Replaced,
     /// The response belongs to another request.
-    Crossed,
+    Mismatched,
     /// A success response without the server's signature.
     Unsigned,
 }
@@ -171,7 +171,7 @@
 /// Translates between a platform's headers and the gateway's types.
 pub trait Dialect: Send + Sync + 'static {
     /// Decodes a caller's headers.
-    fn decode(&self, headers: &HeaderMap) -> Result<Call, BadCall>;
+    fn decode(&self, headers: &HeaderMap) -> Result<RequestMetadata, InvalidHeader>;
 
     /// Returns the headers of a request to an upstream.
     fn request_headers(&self, inbound: &HeaderMap, dispatch: &Dispatch) -> HeaderMap;
@@ -186,7 +186,7 @@
         headers: &HeaderMap,
         attempt: &str,
         upstream: &str,
-    ) -> Verdict;
+    ) -> ResponseClass;
 
     /// Builds the request that asks an upstream to stop a run.
     fn stop_call(&self, stop: &StopCall) -> Request<Full<Bytes>>;
--- a/crates/bilberry-gateway/src/connections.rs
+++ b/crates/bilberry-gateway/src/connections.rs
@@ -82,7 +82,7 @@
 
 /// A pool of idle connections to upstreams.
 #[derive(Debug)]
-pub struct Connections<C> {
+pub struct ConnectionPool<C> {
     clock: C,
     idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
@@ -108,7 +108,7 @@
     }
 }
 
-impl<C: Clock> Connections<C> {
+impl<C: Clock> ConnectionPool<C> {
     /// Creates an empty pool.
     pub fn new(clock: C) -> Self {
         Self { clock, idle: Mutex::new(HashMap::new()) }
--- a/crates/bilberry-gateway/src/crashes.rs
+++ b/crates/bilberry-gateway/src/crashes.rs
@@ -22,8 +22,8 @@
 
 use crate::Dialect;
 use crate::Gateway;
-use crate::Job;
 use crate::Refusal;
+use crate::RequestContext;
 use crate::Upstream;
 use crate::connections::ConnectError;
 use crate::connections::connect;
@@ -50,7 +50,7 @@
     /// Does nothing for an upstream that is leaving, whose shutdown is planned.
     pub(crate) fn record_interrupted_run(
         self: &Arc<Self>,
-        job: &Job,
+        job: &RequestContext,
         upstream: &Arc<Upstream>,
     ) {
         if upstream.is_leaving() && !upstream.has_ended() {
@@ -67,7 +67,7 @@
     /// Starts to watch for a crash of the upstream after a caller left while its
     /// request may still run; an engine may continue a request whose connection is
     /// closed.
-    pub(crate) fn record_abandoned_run(self: &Arc<Self>, job: &Job) {
+    pub(crate) fn record_abandoned_run(self: &Arc<Self>, job: &RequestContext) {
         let Some(upstream) = &job.sent_to else { return };
         if !upstream.is_leaving() && upstream.is_followed(self.clock.now()) {
             let within = ABANDONED_WITHIN;
@@ -80,7 +80,7 @@
     /// Without `ended_at`, the run is assumed to have lasted until the confirmation.
     fn watch_for_crash(
         self: &Arc<Self>,
-        job: &Job,
+        job: &RequestContext,
         upstream: &Arc<Upstream>,
         ended_at: Option<UnixMs>,
         confirmation: Confirmation,
@@ -112,14 +112,14 @@
 
     /// Records that a request completed, so that earlier crashes are not attributed to
     /// it.
-    pub(crate) fn record_served(&self, job: &Job) {
+    pub(crate) fn record_served(&self, job: &RequestContext) {
         let now = self.clock.now();
         let voided = self.crashes.record_served(job.key, now);
         self.share_crashes(voided);
     }
 
     /// Returns the refusal of a request in quarantine, unless the quarantine is pending.
-    pub(crate) fn check_quarantine(&self, job: &Job) -> Result<(), Refusal> {
+    pub(crate) fn check_quarantine(&self, job: &RequestContext) -> Result<(), Refusal> {
         let now = self.clock.now();
         match self.crashes.standing(job.key, now) {
             _ if self.crashes.is_quarantine_pending(job.key, now) => Ok(()),
@@ -132,7 +132,7 @@
 
     /// Reports whether a request may have caused a crash. A suspect request is sent only
     /// once per attempt, to the upstream with the fewest other runs.
-    pub(crate) fn is_suspect(&self, job: &Job) -> bool {
+    pub(crate) fn is_suspect(&self, job: &RequestContext) -> bool {
         self.crashes.standing(job.key, self.clock.now()) != RequestStatus::Good
     }
 
@@ -142,7 +142,11 @@
     /// Plain servers may restart before their new start is known. An engine's sidecar
     /// reports each start, and may report a live engine as down, which must not count
     /// twice.
-    pub(crate) fn earlier_crashes(&self, job: &Job, upstream: &Upstream) -> u64 {
+    pub(crate) fn earlier_crashes(
+        &self,
+        job: &RequestContext,
+        upstream: &Upstream,
+    ) -> u64 {
         match job.pool.engine {
             Some(_) => 0,
             None => self.crashes.count_crashes(IncarnationHash::of(upstream)),
@@ -150,7 +154,7 @@
     }
 
     /// Reports whether a request may run once more after this many runs.
-    pub(crate) fn may_run_after(&self, job: &Job, runs: u32) -> bool {
+    pub(crate) fn may_run_after(&self, job: &RequestContext, runs: u32) -> bool {
         job.may_run_after(runs) && !self.is_suspect(job)
     }
 
@@ -214,7 +218,7 @@
 }
 
 impl InterruptedRun {
-    fn new(job: &Job, upstream: &Upstream) -> Self {
+    fn new(job: &RequestContext, upstream: &Upstream) -> Self {
         let customer = job.customer.as_ref();
         Self {
             attempt: job.call.attempt.clone(),
--- a/crates/bilberry-gateway/src/dispatch.rs
+++ b/crates/bilberry-gateway/src/dispatch.rs
@@ -15,20 +15,20 @@
 use crate::Dialect;
 use crate::Dispatch;
 use crate::Gateway;
-use crate::Job;
-use crate::MemoryCopy;
+use crate::KvCacheCopy;
 use crate::PromptKeys;
 use crate::PromptStore;
-use crate::Seat;
+use crate::RequestContext;
+use crate::Reservation;
 
 impl<D: Dialect, C: Clock> Gateway<D, C> {
     /// Builds the request for an upstream.
     pub(crate) fn request(
         &self,
-        job: &mut Job,
-        seat: &Seat,
+        job: &mut RequestContext,
+        seat: &Reservation,
         last_event: Option<u64>,
-        resume_from: Option<MemoryCopy>,
+        resume_from: Option<KvCacheCopy>,
     ) -> Request<Full<Bytes>> {
         let now = self.clock.now();
         let is_engine = job.pool.engine.is_some();
@@ -57,8 +57,8 @@
     /// Sets the cache salt, and where cached prompt parts are fetched from and saved to.
     fn set_cache_fields(
         &self,
-        job: &mut Job,
-        seat: &Seat,
+        job: &mut RequestContext,
+        seat: &Reservation,
         weights: u64,
         dispatch: &mut Dispatch,
     ) {
@@ -88,8 +88,8 @@
     /// where.
     fn prompt_supply(
         &self,
-        job: &Job,
-        seat: &Seat,
+        job: &RequestContext,
+        seat: &Reservation,
         keys: &PromptKeys,
         store: Option<&PromptStore>,
     ) -> PromptSupply {
@@ -128,7 +128,11 @@
     }
 
     /// Records that the response has started, which means that the prefill is done.
-    pub(crate) fn record_prompt_read(&self, job: &mut Job, seat: &mut Seat) {
+    pub(crate) fn record_prompt_read(
+        &self,
+        job: &mut RequestContext,
+        seat: &mut Reservation,
+    ) {
         seat.prompt_is_read();
         self.end_reading(job, seat);
         let Some(weights) = job.weights.filter(|_| !seat.upstream.has_ended()) else {
--- a/crates/bilberry-gateway/src/forward.rs
+++ b/crates/bilberry-gateway/src/forward.rs
@@ -14,12 +14,12 @@
 use crate::Connection;
 use crate::Dialect;
 use crate::Gateway;
-use crate::Job;
-use crate::MemoryCopy;
+use crate::KvCacheCopy;
 use crate::Refusal;
-use crate::Seat;
+use crate::RequestContext;
+use crate::Reservation;
+use crate::ResponseClass;
 use crate::SendError;
-use crate::Verdict;
 
 /// How many sends are allowed beyond the route's attempts if the request did not run.
 ///
@@ -52,7 +52,7 @@
 pub(crate) struct UpstreamResponse {
     pub http: Response<Incoming>,
     pub connection: Connection,
-    pub seat: Seat,
+    pub seat: Reservation,
 }
 
 /// The outcome of one send.
@@ -74,7 +74,7 @@
     /// not run: a later upstream's refusal covers only the send to that upstream.
     pub(crate) async fn forward(
         self: &Arc<Self>,
-        job: &mut Job,
+        job: &mut RequestContext,
     ) -> Result<UpstreamResponse, Refusal> {
         let mut failed = None;
         match (self.try_upstreams(job, &mut failed).await, failed) {
@@ -89,7 +89,7 @@
 
     async fn try_upstreams(
         self: &Arc<Self>,
-        job: &mut Job,
+        job: &mut RequestContext,
         failed: &mut Option<UpstreamResponse>,
     ) -> Result<UpstreamResponse, Refusal> {
         loop {
@@ -136,7 +136,11 @@
     }
 
     /// Reports whether an error response should be retried on another upstream.
-    fn should_retry_elsewhere(&self, job: &mut Job, response: &UpstreamResponse) -> bool {
+    fn should_retry_elsewhere(
+        &self,
+        job: &mut RequestContext,
+        response: &UpstreamResponse,
+    ) -> bool {
         let failed = response.http.status().is_server_error();
         if !failed || !job.route.kind.is_repeatable() {
             return false;
@@ -145,7 +149,7 @@
         self.may_run_after(job, job.runs) && self.has_time(job)
     }
 
-    fn check_resend(&self, job: &Job) -> Result<(), Refusal> {
+    fn check_resend(&self, job: &RequestContext) -> Result<(), Refusal> {
         let attempts_used_up = job.sends >= job.route.max_attempts + EXTRA_SENDS;
         // A connection that was never established put no load on any upstream.
         let costs_nothing = job.detail == NOT_CONNECTED;
@@ -158,7 +162,7 @@
         }
     }
 
-    fn check_rerun(&self, job: &Job) -> Result<(), Refusal> {
+    fn check_rerun(&self, job: &RequestContext) -> Result<(), Refusal> {
         let allowed = self.may_run_after(job, job.runs) && self.has_time(job);
         match allowed && self.may_repeat(&job.pool.name, RetryKind::Resend) {
             true => Ok(()),
@@ -166,11 +170,15 @@
         }
     }
 
-    fn has_time(&self, job: &Job) -> bool {
+    fn has_time(&self, job: &RequestContext) -> bool {
         !job.deadline.has_passed_at(self.clock.now())
     }
 
-    async fn send(self: &Arc<Self>, job: &mut Job, seat: Seat) -> SendOutcome {
+    async fn send(
+        self: &Arc<Self>,
+        job: &mut RequestContext,
+        seat: Reservation,
+    ) -> SendOutcome {
         let upstream = seat.upstream.clone();
         job.tried.push(upstream.clone());
         job.backup = self.choose_backup(job, &upstream);
@@ -179,7 +187,7 @@
         // An at-most-once call gets a new connection. On a reused one, a response to
         // another call, or a close during the send, would leave it unknown whether the
         // call ran.
-        let reuse = job.route.kind != CallKind::Once;
+        let reuse = job.route.kind != CallKind::NonRepeatable;
         let connected = self.connections.get(upstream.address, reuse).await;
         let mut connection = match connected {
             Ok(connection) => connection,
@@ -227,10 +235,10 @@
     /// Sends the request to the engine that holds a backup of its KV cache.
     pub(crate) async fn send_to_backup(
         self: &Arc<Self>,
-        job: &mut Job,
-        seat: Seat,
+        job: &mut RequestContext,
+        seat: Reservation,
         last_event: Option<u64>,
-        copy: MemoryCopy,
+        copy: KvCacheCopy,
     ) -> Option<UpstreamResponse> {
         let upstream = seat.upstream.clone();
         job.tried.push(upstream.clone());
@@ -257,10 +265,10 @@
 
     fn classify_response(
         &self,
-        job: &Job,
+        job: &RequestContext,
         response: Response<Incoming>,
         connection: Connection,
-        seat: Seat,
+        seat: Reservation,
     ) -> SendOutcome {
         let verdict = self.dialect.judge(
             response.status(),
@@ -268,13 +276,13 @@
             &job.call.attempt,
             &seat.upstream.id,
         );
-        if !matches!(verdict, Verdict::Replaced | Verdict::Crossed) {
+        if !matches!(verdict, ResponseClass::Replaced | ResponseClass::Mismatched) {
             let status =
                 self.dialect.server_status(response.status(), response.headers());
             seat.upstream.record_status(&status, self.clock.now());
         }
         match verdict {
-            Verdict::Answered => {
+            ResponseClass::Valid => {
                 seat.upstream.note_answer();
                 SendOutcome::Responded(Box::new(UpstreamResponse {
                     http: response,
@@ -282,15 +290,15 @@
                     seat,
                 }))
             }
-            Verdict::Busy => {
+            ResponseClass::Busy => {
                 seat.upstream.record_busy(self.clock.now(), BUSY_PAUSE_MS);
                 SendOutcome::NotRun("busy")
             }
-            Verdict::OtherWeights => {
+            ResponseClass::OtherWeights => {
                 seat.upstream.record_busy(self.clock.now(), BUSY_PAUSE_MS);
                 SendOutcome::NotRun("other_weights")
             }
-            Verdict::Replaced => {
+            ResponseClass::Replaced => {
                 seat.upstream.leave();
                 log::info!(
                     target: "upstream",
@@ -299,8 +307,8 @@
                 );
                 SendOutcome::NotRun("replaced")
             }
-            Verdict::Crossed => SendOutcome::MayHaveRun("crossed"),
-            Verdict::Unsigned => SendOutcome::MayHaveRun("unsigned"),
+            ResponseClass::Mismatched => SendOutcome::MayHaveRun("crossed"),
+            ResponseClass::Unsigned => SendOutcome::MayHaveRun("unsigned"),
         }
     }
 }
@@ -309,7 +317,7 @@
 const NOT_CONNECTED: &str = "not_connected";
 
 /// Returns how long to wait for the head of a response before a retry.
-fn response_timeout(job: &Job, is_followed: bool) -> Duration {
+fn response_timeout(job: &RequestContext, is_followed: bool) -> Duration {
     let factor = match job.route.kind.is_stream() {
         true if is_followed => LIVE_STREAM_TIMEOUT_FACTOR,
         true => STREAM_TIMEOUT_FACTOR,
--- a/crates/bilberry-gateway/src/gateway.rs
+++ b/crates/bilberry-gateway/src/gateway.rs
@@ -21,18 +21,18 @@
 use bilberry_wire::UpstreamState;
 use tokio::sync::watch;
 
-use crate::Connections;
+use crate::ConnectionPool;
 use crate::Dialect;
 use crate::GatewayMetrics;
 use crate::Hubs;
 use crate::KnownWeights;
-use crate::Listed;
+use crate::Listing;
 use crate::LogLineBudget;
-use crate::Pace;
 use crate::Policy;
 use crate::PromptStore;
 use crate::PromptStores;
-use crate::SidecarSigns;
+use crate::SidecarPresenceMap;
+use crate::SpeedEstimates;
 use crate::Upstream;
 use crate::Upstreams;
 use crate::known_crashes::KnownCrashes;
@@ -63,7 +63,7 @@
     /// All known upstreams.
     pub upstreams: Upstreams,
     /// The pool of connections to upstreams.
-    pub connections: Connections<C>,
+    pub connections: ConnectionPool<C>,
     /// Counters and histograms.
     pub metrics: GatewayMetrics,
     /// The prompt stores.
@@ -73,9 +73,9 @@
     /// The sidecars that can relay the platform store's changes to this entry.
     pub hubs: Hubs,
     /// Which engine hosts have shown that they run a sidecar.
-    pub sidecars: SidecarSigns,
+    pub sidecars: SidecarPresenceMap,
     pub(crate) crashes: KnownCrashes,
-    pub(crate) pace: Pace,
+    pub(crate) pace: SpeedEstimates,
     pub(crate) readings: Mutex<PrefillsInProgress>,
     pub(crate) lines: LogLineBudget,
     pub(crate) pool_summaries: watch::Sender<PoolSummaries>,
@@ -93,7 +93,7 @@
     pub fn new(dialect: D, clock: C, settings: GatewaySettings) -> Self {
         Self {
             dialect,
-            connections: Connections::new(clock.clone()),
+            connections: ConnectionPool::new(clock.clone()),
             clock,
             settings,
             upstreams: Upstreams::default(),
@@ -101,9 +101,9 @@
             stores: PromptStores::default(),
             weights: KnownWeights::default(),
             hubs: Hubs::default(),
-            sidecars: SidecarSigns::default(),
+            sidecars: SidecarPresenceMap::default(),
             crashes: KnownCrashes::default(),
-            pace: Pace::default(),
+            pace: SpeedEstimates::default(),
             readings: Mutex::default(),
             lines: LogLineBudget::default(),
             pool_summaries: watch::Sender::default(),
@@ -270,7 +270,7 @@
     }
 
     /// Applies one record of the list of upstreams.
-    pub fn list(&self, listed: &Listed) {
+    pub fn list(&self, listed: &Listing) {
         let ended = self.upstreams.put(listed);
         ended.iter().for_each(|ended| self.on_incarnation_end(ended));
     }
--- a/crates/bilberry-gateway/src/listed.rs
+++ b/crates/bilberry-gateway/src/listing.rs
@@ -8,7 +8,7 @@
 
 /// An upstream as the platform lists it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listed {
+pub struct Listing {
     /// Its id.
     pub id: Name,
     /// Its service.
--- a/crates/bilberry-gateway/src/unattended.rs
+++ b/crates/bilberry-gateway/src/missing_weights.rs
@@ -17,7 +17,7 @@
 
 /// Whether hosts have a sidecar, as observed from connection attempts.
 #[derive(Debug, Default)]
-pub struct SidecarSigns {
+pub struct SidecarPresenceMap {
     by_host: Mutex<HashMap<IpAddr, SidecarPresence>>,
 }
 
@@ -31,7 +31,7 @@
     Seen,
 }
 
-impl SidecarSigns {
+impl SidecarPresenceMap {
     /// Records the result of a connection attempt to the sidecar of a host.
     ///
     /// A timeout is ignored, as the host may be partitioned or suspended.
@@ -62,7 +62,7 @@
 
 /// An engine that lacks a version of its weights and has no sidecar to order it.
 #[derive(Debug, Clone)]
-pub struct Unattended {
+pub struct MissingWeights {
     /// The engine.
     pub upstream: Arc<Upstream>,
     /// The model.
@@ -98,11 +98,11 @@
 
     /// Returns the first model of which an engine without a sidecar lacks the newest
     /// weights.
-    pub fn lacking(&self, upstream: &Arc<Upstream>) -> Option<Unattended> {
+    pub fn lacking(&self, upstream: &Arc<Upstream>) -> Option<MissingWeights> {
         let now = self.clock.now();
         let lacking = |(model, version): (Name, u64)| {
             let lacking_ms = self.weights.lacking_ms(&model, Some(version), now)?;
-            Some(Unattended {
+            Some(MissingWeights {
                 upstream: upstream.clone(),
                 version: self.weights.newest(&model)?,
                 model,
--- a/crates/bilberry-gateway/src/placing.rs
+++ b/crates/bilberry-gateway/src/placement.rs
@@ -14,9 +14,9 @@
 
 use crate::Dialect;
 use crate::Gateway;
-use crate::Job;
 use crate::Refusal;
-use crate::Seat;
+use crate::RequestContext;
+use crate::Reservation;
 use crate::Upstream;
 
 /// The longest sleep of a waiting request between two placement attempts.
@@ -30,7 +30,10 @@
 
 impl<D: Dialect, C: Clock> Gateway<D, C> {
     /// Waits for an upstream with capacity and reserves it.
-    pub(crate) async fn acquire_seat(&self, job: &mut Job) -> Result<Seat, Refusal> {
+    pub(crate) async fn acquire_seat(
+        &self,
+        job: &mut RequestContext,
+    ) -> Result<Reservation, Refusal> {
         let began = self.clock.now();
         let max_wait_ms = job.deadline.ms_since(began) / WAIT_DIVISOR;
         let until = began.plus_ms(max_wait_ms);
@@ -86,7 +89,12 @@
     /// A request that waited for them would be refused in the end. If no upstream is left
     /// or listed yet, the result is false, as one may appear at any time with any
     /// weights.
-    fn all_weights_barred(&self, job: &Job, until: UnixMs, now: UnixMs) -> bool {
+    fn all_weights_barred(
+        &self,
+        job: &RequestContext,
+        until: UnixMs,
+        now: UnixMs,
+    ) -> bool {
         let Some(model) = &job.call.model else { return false };
         let upstreams = self.upstreams.of(&job.pool.name);
         let mut not_leaving = upstreams.iter().filter(|upstream| !upstream.is_leaving());
@@ -111,7 +119,7 @@
     }
 
     /// Chooses an upstream with capacity, if there is one.
-    fn choose(&self, job: &mut Job) -> Option<Choice> {
+    fn choose(&self, job: &mut RequestContext) -> Option<Placement> {
         let now = self.clock.now();
         // The request waits until its quarantine takes effect or is lifted.
         if self.crashes.is_quarantine_pending(job.key, now) {
@@ -152,7 +160,7 @@
         let same_weights =
             offers.iter().zip(&versions).filter(|(_, other)| **other == version);
         let held_tokens = same_weights.map(|(offer, _)| offer.held_tokens).max();
-        Some(Choice {
+        Some(Placement {
             upstream: upstreams[index].clone(),
             demand,
             weights: version,
@@ -167,8 +175,8 @@
     }
 
     /// Reserves capacity at the chosen upstream.
-    fn take_seat(&self, job: &mut Job, choice: Choice) -> Seat {
-        let Choice { upstream, demand, weights, .. } = choice;
+    fn take_seat(&self, job: &mut RequestContext, choice: Placement) -> Reservation {
+        let Placement { upstream, demand, weights, .. } = choice;
         let model = job.call.model.clone().unwrap_or_default();
         job.weights = weights;
         job.weights_outdated_ms =
@@ -178,13 +186,13 @@
         }
         let missing = demand.shared_tokens + demand.own_tokens;
         let changed = self.upstreams.changed.clone();
-        Seat::take(upstream, demand.memory_tokens(), missing, changed)
+        Reservation::take(upstream, demand.memory_tokens(), missing, changed)
     }
 }
 
 /// The upstream chosen for a request.
 #[derive(Debug)]
-pub(crate) struct Choice {
+pub(crate) struct Placement {
     pub(crate) upstream: Arc<Upstream>,
     pub(crate) demand: PlacementRequest,
     /// The version of the upstream's weights.
--- a/crates/bilberry-gateway/src/plain_answer.rs
+++ b/crates/bilberry-gateway/src/plain_response.rs
@@ -15,11 +15,11 @@
 
 use crate::Dialect;
 use crate::Gateway;
-use crate::Job;
 use crate::Refusal;
+use crate::RequestContext;
+use crate::body_relay::BODY_CHANNEL_CAPACITY;
+use crate::body_relay::BodyEnd;
 use crate::forward::UpstreamResponse;
-use crate::passing::BODY_CHANNEL_CAPACITY;
-use crate::passing::BodyEnd;
 
 /// The largest plain response that is buffered in full before it is relayed.
 ///
@@ -37,7 +37,7 @@
     /// Buffers a plain response, in full unless it is too large; fails if it is cut off.
     pub(crate) async fn buffer_response(
         self: &Arc<Self>,
-        job: &mut Job,
+        job: &mut RequestContext,
         mut response: UpstreamResponse,
     ) -> Result<PlainResponse, Refusal> {
         self.record_prompt_read(job, &mut response.seat);
@@ -70,7 +70,7 @@
     /// As it is not buffered in full, the caller's response is cut off if this one is.
     pub(crate) fn stream_partial(
         self: Arc<Self>,
-        job: Job,
+        job: RequestContext,
         mut response: UpstreamResponse,
         buffered: Bytes,
     ) -> Response<OutBody> {
@@ -94,7 +94,7 @@
 
     async fn stream_body(
         self: &Arc<Self>,
-        job: &Job,
+        job: &RequestContext,
         response: &mut UpstreamResponse,
         buffered: Bytes,
         pieces: &mpsc::Sender<BodyPiece>,
--- a/crates/bilberry-gateway/src/policy.rs
+++ b/crates/bilberry-gateway/src/policy.rs
@@ -53,11 +53,11 @@
     /// May run any number of times.
     Idempotent,
     /// Runs at most once.
-    Once,
+    NonRepeatable,
     /// An event stream that another upstream may continue.
     ResumableStream,
     /// An event stream that runs at most once.
-    OnceStream,
+    NonRepeatableStream,
 }
 
 impl CallKind {
@@ -68,7 +68,7 @@
 
     /// Reports whether the answer is an event stream.
     pub fn is_stream(self) -> bool {
-        matches!(self, Self::ResumableStream | Self::OnceStream)
+        matches!(self, Self::ResumableStream | Self::NonRepeatableStream)
     }
 }
 
@@ -78,14 +78,14 @@
     /// Its name.
     pub name: Name,
     /// The properties of its engines; `None` for a plain service.
-    pub engine: Option<EngineTerms>,
+    pub engine: Option<EngineConfig>,
     /// The settings of the prompt store, if the service is one.
-    pub prompt_store: Option<PromptStoreTerms>,
+    pub prompt_store: Option<PromptStoreConfig>,
 }
 
 /// The settings of a store of cached prompts.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PromptStoreTerms {
+pub struct PromptStoreConfig {
     /// Its address.
     pub address: SocketAddr,
     /// Its data centre, if configured.
@@ -96,7 +96,7 @@
 
 /// The properties of the engines of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EngineTerms {
+pub struct EngineConfig {
     /// The cache memory of one engine, in tokens.
     pub memory_tokens: u64,
     /// Whether the memory of a running request can be copied to another engine as it
@@ -150,12 +150,12 @@
     }
 
     /// Returns the stores of cached prompts.
-    pub fn prompt_stores(&self) -> impl Iterator<Item = &PromptStoreTerms> {
+    pub fn prompt_stores(&self) -> impl Iterator<Item = &PromptStoreConfig> {
         self.pools.values().filter_map(|pool| pool.prompt_store.as_ref())
     }
 
     /// Returns the capacity of a store's link in tokens per second, if configured.
-    pub fn store_tokens_per_s(&self, store: &PromptStoreTerms) -> Option<f64> {
+    pub fn store_tokens_per_s(&self, store: &PromptStoreConfig) -> Option<f64> {
         let link_mbps = store.link_mbps?;
         let engines = self.pools.values().filter_map(|pool| pool.engine);
         let token_bytes = engines.map(|engine| engine.token_bytes).max()?;
--- a/crates/bilberry-gateway/src/prompt_keys.rs
+++ b/crates/bilberry-gateway/src/prompt_keys.rs
@@ -3,8 +3,8 @@
 use bilberry_core::UnixMs;
 use bilberry_core::part_key;
 
-use crate::KeptParts;
 use crate::PromptPart;
+use crate::StoreContents;
 use crate::Upstream;
 
 /// The cache keys of one prompt's shared parts under one salt.
@@ -52,7 +52,7 @@
     }
 
     /// Returns how many leading shared tokens a prompt store is assumed to hold.
-    pub fn kept_tokens(&self, kept: &KeptParts, now: UnixMs) -> u64 {
+    pub fn kept_tokens(&self, kept: &StoreContents, now: UnixMs) -> u64 {
         self.leading_tokens(|key| kept.has(key, now))
     }
 
--- a/crates/bilberry-gateway/src/prompt_stores.rs
+++ b/crates/bilberry-gateway/src/prompt_stores.rs
@@ -21,9 +21,9 @@
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::KeptParts;
 use crate::Policy;
-use crate::PromptStoreTerms;
+use crate::PromptStoreConfig;
+use crate::StoreContents;
 
 /// The stores of cached prompts that the configuration names.
 #[derive(Debug, Default)]
@@ -39,11 +39,11 @@
 #[derive(Debug)]
 pub struct PromptStore {
     /// Its settings in the configuration.
-    pub terms: PromptStoreTerms,
+    pub terms: PromptStoreConfig,
     /// A hash of its address.
     pub seed: u64,
     /// The parts that it is assumed to hold.
-    pub kept: KeptParts,
+    pub kept: StoreContents,
     /// The capacity of its link in tokens per second, if configured.
     link_tokens_per_s: Option<f64>,
     link: Mutex<LinkBudget>,
@@ -144,14 +144,14 @@
 impl PromptStore {
     /// Creates a store with unknown contents that does not answer yet.
     pub fn new(
-        terms: PromptStoreTerms,
+        terms: PromptStoreConfig,
         link_tokens_per_s: Option<f64>,
         answering_changed: Arc<Notify>,
     ) -> Self {
         Self {
             seed: xxh3_64(terms.address.to_string().as_bytes()),
             terms,
-            kept: KeptParts::default(),
+            kept: StoreContents::default(),
             link_tokens_per_s,
             link: Mutex::default(),
             answers: AtomicBool::new(false),
--- a/crates/bilberry-gateway/src/readings.rs
+++ b/crates/bilberry-gateway/src/readings.rs
@@ -11,11 +11,11 @@
 
 use crate::Dialect;
 use crate::Gateway;
-use crate::Job;
-use crate::Reads;
-use crate::Seat;
+use crate::PrefillPlan;
+use crate::RequestContext;
+use crate::Reservation;
 use crate::Upstream;
-use crate::placing::Choice;
+use crate::placement::Placement;
 
 /// How much longer than predicted a prefill may take, in milliseconds.
 ///
@@ -25,7 +25,11 @@
 impl<D: Dialect, C: Clock> Gateway<D, C> {
     /// Returns until when a request waits for a shared part that another request
     /// prefills, if waiting is worthwhile.
-    pub(crate) fn awaits_until(&self, job: &mut Job, choice: &Choice) -> Option<UnixMs> {
+    pub(crate) fn awaits_until(
+        &self,
+        job: &mut RequestContext,
+        choice: &Placement,
+    ) -> Option<UnixMs> {
         let weights = choice.weights?;
         let now = self.clock.now();
         let most_ms = most_wait_for_parts_ms(job.route.target_ms);
@@ -48,7 +52,12 @@
 
     /// Records the parts beyond `supplied_tokens` that a request prefills at its
     /// upstream, and notifies the other entries through the upstream's sidecar.
-    pub(crate) fn begin_reading(&self, job: &mut Job, seat: &Seat, supplied_tokens: u64) {
+    pub(crate) fn begin_reading(
+        &self,
+        job: &mut RequestContext,
+        seat: &Reservation,
+        supplied_tokens: u64,
+    ) {
         let Some(weights) = job.weights else { return };
         let now = self.clock.now();
         let tokens_ahead = seat.pending_tokens_ahead();
@@ -66,7 +75,7 @@
         let parts = begun.iter().map(|begun| begun.part).collect();
         let tokens =
             tokens_ahead + job.call.prompt_tokens.saturating_sub(supplied_tokens);
-        job.reads = Some(Reads { parts, tokens, since: now });
+        job.reads = Some(PrefillPlan { parts, tokens, since: now });
         if begun.is_empty() {
             return;
         }
@@ -77,7 +86,7 @@
     }
 
     /// Records that the parts which a request prefilled are in its upstream's cache.
-    pub(crate) fn end_reading(&self, job: &mut Job, seat: &Seat) {
+    pub(crate) fn end_reading(&self, job: &mut RequestContext, seat: &Reservation) {
         let Some(reads) = job.reads.take() else { return };
         let took_ms = self.clock.now().ms_since(reads.since);
         self.pace.note_read(&job.pool.name, reads.tokens, took_ms);
@@ -124,12 +133,12 @@
 }
 
 /// Sends a notice to the sidecar; the engine's own events report the same later.
-fn send_notice(seat: &Seat, notice: ReadingNotice) {
+fn send_notice(seat: &Reservation, notice: ReadingNotice) {
     if !seat.upstream.send_to_sidecar(Body::ReadingNotice(notice)) {
         log::debug!("cannot report a prefill at {} to its sidecar", seat.upstream.id);
     }
 }
 
-fn incarnation_start_ms(seat: &Seat) -> Option<u64> {
+fn incarnation_start_ms(seat: &Reservation) -> Option<u64> {
     seat.upstream.incarnation().map(|incarnation| incarnation.born_at.0)
 }
--- a/crates/bilberry-gateway/src/refusal.rs
+++ b/crates/bilberry-gateway/src/refusal.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 use thiserror::Error;
 
-use crate::BadCall;
+use crate::InvalidHeader;
 
 /// Why the gateway responds with an error of its own.
 ///
@@ -19,7 +19,7 @@
 pub enum Refusal {
     /// A header is not valid.
     #[error("{0}")]
-    BadRequest(#[from] BadCall),
+    BadRequest(#[from] InvalidHeader),
     /// The head is too large.
     #[error("the head is over {0} bytes; shorten it")]
     HeadTooLarge(usize),
--- a/crates/bilberry-gateway/src/relay.rs
+++ b/crates/bilberry-gateway/src/relay.rs
@@ -28,14 +28,14 @@
 use crate::CallKind;
 use crate::Dialect;
 use crate::Gateway;
-use crate::Job;
+use crate::RequestContext;
 use crate::Upstream;
+use crate::body_relay::BODY_CHANNEL_CAPACITY;
+use crate::body_relay::BodyEnd;
 use crate::forward::UpstreamResponse;
-use crate::passing::BODY_CHANNEL_CAPACITY;
-use crate::passing::BodyEnd;
-use crate::stopping::FirstRunEnd;
-use crate::stopping::RunTakeover;
-use crate::stopping::STOP_REPLY_TIMEOUT;
+use crate::run_stop::FirstRunEnd;
+use crate::run_stop::RunTakeover;
+use crate::run_stop::STOP_REPLY_TIMEOUT;
 
 /// The silence after which a stream is resumed, as a multiple of the route's event gap.
 const SILENCE_GAP_FACTOR: u64 = 4;
@@ -86,7 +86,7 @@
     /// Relays a stream as it arrives and resumes it where allowed.
     pub(crate) fn relay(
         self: Arc<Self>,
-        mut job: Job,
+        mut job: RequestContext,
         response: UpstreamResponse,
     ) -> Response<OutBody> {
         let (pieces, body) = mpsc::channel(BODY_CHANNEL_CAPACITY);
@@ -113,7 +113,7 @@
 
     async fn relay_stream(
         self: &Arc<Self>,
-        job: &mut Job,
+        job: &mut RequestContext,
         response: UpstreamResponse,
         pieces: &mpsc::Sender<BodyPiece>,
     ) -> BodyEnd {
@@ -158,12 +158,12 @@
     /// Resumes a stream on another upstream after the last complete event.
     async fn resume(
         self: &Arc<Self>,
-        job: &mut Job,
+        job: &mut RequestContext,
         splitter: &EventSplitter,
         upstream: &Arc<Upstream>,
         first_run_end: Option<FirstRunEnd>,
     ) -> Option<UpstreamResponse> {
-        if job.route.kind == CallKind::OnceStream {
+        if job.route.kind == CallKind::NonRepeatableStream {
             let last_event = splitter.last_id();
             return self
                 .resume_from_backup(job, last_event, upstream, first_run_end)
@@ -185,7 +185,7 @@
 
     async fn relay_from_upstream(
         &self,
-        job: &mut Job,
+        job: &mut RequestContext,
         response: &mut UpstreamResponse,
         splitter: &mut EventSplitter,
         pieces: &mpsc::Sender<BodyPiece>,
@@ -290,7 +290,7 @@
         }
     }
 
-    fn record_pace(&self, job: &Job) {
+    fn record_pace(&self, job: &RequestContext) {
         let Some(first_byte_ms) = job.first_byte_ms else { return };
         let took_ms = self.clock.now().ms_since(job.arrived_at) - first_byte_ms;
         self.pace.note_answer(&job.pool.name, took_ms, job.call.output_tokens);
@@ -341,6 +341,6 @@
 }
 
 /// Reports whether a response is an event stream.
-pub(crate) fn is_stream(job: &Job, response: &Response<Incoming>) -> bool {
+pub(crate) fn is_stream(job: &RequestContext, response: &Response<Incoming>) -> bool {
     job.route.kind.is_stream() && response.status().is_success()
 }
--- a/crates/bilberry-gateway/src/job.rs
+++ b/crates/bilberry-gateway/src/request_context.rs
@@ -12,10 +12,10 @@
 use hyper::header::HOST;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::Call;
 use crate::Customer;
 use crate::Pool;
 use crate::PromptKeys;
+use crate::RequestMetadata;
 use crate::Route;
 use crate::Upstream;
 
@@ -24,9 +24,9 @@
 
 /// The state of a request while the entry handles it.
 #[derive(Debug)]
-pub struct Job {
+pub struct RequestContext {
     /// The decoded headers of the caller.
-    pub call: Call,
+    pub call: RequestMetadata,
     /// The matching route.
     pub route: Arc<Route>,
     /// The customer, if the route requires an API key.
@@ -71,7 +71,7 @@
     pub prompt_keys: Vec<(u64, Arc<PromptKeys>)>,
     /// The shared parts that the upstream computes for it, once announced to other
     /// entries.
-    pub reads: Option<Reads>,
+    pub reads: Option<PrefillPlan>,
     /// Until when it waits for shared parts that other requests compute, once it has
     /// begun to.
     pub waits_for_parts_until: Option<UnixMs>,
@@ -89,7 +89,7 @@
 
 /// The shared prompt parts that an upstream computes for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Reads {
+pub struct PrefillPlan {
     /// The keys of the parts.
     pub parts: Vec<u64>,
     /// The number of tokens that the upstream has to prefill before the response starts.
@@ -98,7 +98,7 @@
     pub since: UnixMs,
 }
 
-impl Job {
+impl RequestContext {
     /// Reports whether this incarnation of an upstream was already tried.
     pub fn has_tried(&self, upstream: &Arc<Upstream>) -> bool {
         self.tried.iter().any(|tried| Arc::ptr_eq(tried, upstream))
--- a/crates/bilberry-gateway/src/record.rs
+++ b/crates/bilberry-gateway/src/request_log.rs
@@ -5,7 +5,7 @@
 use bilberry_core::Clock;
 use bilberry_core::UnixMs;
 
-use crate::Job;
+use crate::RequestContext;
 
 /// The maximum number of lines per second for plain successes, which the first upstream
 /// served within the target latency.
@@ -48,7 +48,7 @@
 }
 
 /// Writes the log line for the outcome of a request.
-pub fn log_outcome<C: Clock>(job: &Job, outcome: &str, clock: &C) {
+pub fn log_outcome<C: Clock>(job: &RequestContext, outcome: &str, clock: &C) {
     let now = clock.now();
     let tried: Vec<&str> = job.tried.iter().map(|tried| tried.id.as_str()).collect();
     log::info!(
--- a/crates/bilberry-gateway/src/stopping.rs
+++ b/crates/bilberry-gateway/src/run_stop.rs
@@ -24,7 +24,7 @@
 use crate::Connection;
 use crate::Dialect;
 use crate::Gateway;
-use crate::MemoryCopy;
+use crate::KvCacheCopy;
 use crate::StopCall;
 use crate::StopReply;
 use crate::Upstream;
@@ -55,7 +55,7 @@
     /// It has ended without a transfer of its KV cache.
     Ended(RunEndReason),
     /// It was stopped, and the successor holds this copy of its KV cache.
-    Moved(MemoryCopy),
+    Moved(KvCacheCopy),
 }
 
 /// An at-most-once run that another engine can take over.
@@ -173,12 +173,12 @@
         let body = Limited::new(response.into_body(), MAX_STOP_REPLY_BYTES).collect();
         let body = body.await.ok()?.to_bytes();
         match self.dialect.stop_reply(status, &body) {
-            StopReply::Moved(name) => {
-                Some(FirstRunEnd::Moved(MemoryCopy { named_by: upstream, name }))
+            StopReply::Transferred(name) => {
+                Some(FirstRunEnd::Moved(KvCacheCopy { named_by: upstream, name }))
             }
             StopReply::Stopped => Some(FirstRunEnd::Ended(RunEndReason::Stopped)),
             StopReply::NoSuchRun => Some(FirstRunEnd::Ended(RunEndReason::NoSuchRun)),
-            StopReply::Unclear => None,
+            StopReply::Unknown => None,
         }
     }
 }
--- a/crates/bilberry-gateway/src/serve.rs
+++ b/crates/bilberry-gateway/src/serve.rs
@@ -22,14 +22,14 @@
 use hyper::http::request::Parts;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::Call;
 use crate::Dialect;
 use crate::Gateway;
-use crate::Job;
 use crate::Policy;
 use crate::Refusal;
+use crate::RequestContext;
+use crate::RequestMetadata;
 use crate::forward::UpstreamResponse;
-use crate::plain_answer::PlainResponse;
+use crate::plain_response::PlainResponse;
 use crate::relay::is_stream;
 
 /// The timeout for receiving a request body.
@@ -103,7 +103,7 @@
         &self,
         head: Parts,
         arrived_at: UnixMs,
-    ) -> Result<(Arc<Policy>, Job), (Name, Refusal)> {
+    ) -> Result<(Arc<Policy>, RequestContext), (Name, Refusal)> {
         let call = match self.dialect.decode(&head.headers) {
             Ok(call) => call,
             Err(bad) => return Err((Name::new(), Refusal::BadRequest(bad))),
@@ -115,9 +115,9 @@
     fn create_job(
         &self,
         head: Parts,
-        call: Call,
+        call: RequestMetadata,
         arrived_at: UnixMs,
-    ) -> Result<(Arc<Policy>, Job), Refusal> {
+    ) -> Result<(Arc<Policy>, RequestContext), Refusal> {
         let policy = self.policy().ok_or(Refusal::NotReady)?;
         let max_bytes = policy.limits.header_bytes;
         if head_bytes(&head) > max_bytes {
@@ -141,7 +141,7 @@
         let pool = pool.ok_or(Refusal::NoCapacity)?;
         let patience_ms = call.patience_ms.unwrap_or(route.timeout_ms);
         let deadline = arrived_at.plus_ms(patience_ms.min(route.timeout_ms));
-        let job = Job {
+        let job = RequestContext {
             call,
             route,
             customer,
@@ -179,7 +179,7 @@
         &self,
         body: Incoming,
         policy: &Policy,
-        job: &Job,
+        job: &RequestContext,
     ) -> Result<Bytes, Refusal> {
         let max_bytes = policy.limits.body_bytes;
         let left_ms = job.deadline.ms_since(self.clock.now());
@@ -207,7 +207,7 @@
         refusal.to_response(retry_after_ms(RETRY_AFTER_RANGE_MS.1))
     }
 
-    fn refuse(&self, job: &Job, refusal: &Refusal) -> Response<OutBody> {
+    fn refuse(&self, job: &RequestContext, refusal: &Refusal) -> Response<OutBody> {
         self.record_outcome(job, refusal.code());
         let now = self.clock.now();
         let left_ms = job.deadline.ms_since(now);
@@ -271,7 +271,7 @@
 /// such a request would otherwise not be logged.
 struct CallerGuard<D: Dialect, C: Clock> {
     gateway: Arc<Gateway<D, C>>,
-    job: Option<Job>,
+    job: Option<RequestContext>,
 }
 
 impl<D: Dialect, C: Clock> CallerGuard<D, C> {
--- a/crates/bilberry-gateway/src/pace.rs
+++ b/crates/bilberry-gateway/src/speed.rs
@@ -30,12 +30,12 @@
 
 /// The estimated prefill and decode time per token of each service's engines.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct SpeedEstimates {
     token_us: Mutex<HashMap<Name, u64>>,
     read_us: Mutex<HashMap<Name, u64>>,
 }
 
-impl Pace {
+impl SpeedEstimates {
     /// Records a complete response: the time from its first to its last event, and the
     /// maximum number of tokens that it was allowed.
     ///
--- a/crates/bilberry-gateway/src/held.rs
+++ b/crates/bilberry-gateway/src/store_contents.rs
@@ -29,7 +29,7 @@
 /// A sidecar that follows the store reports its contents. While none does, each upstream
 /// that prefills a part under a new salt is assumed to have written it to the store.
 #[derive(Debug, Default)]
-pub struct KeptParts {
+pub struct StoreContents {
     writes: Mutex<HashMap<u64, Write>>,
     /// The store's contents, by the sidecar that reports them.
     reported: Mutex<HashMap<Name, HashSet<u64>>>,
@@ -43,7 +43,7 @@
     at: UnixMs,
 }
 
-impl KeptParts {
+impl StoreContents {
     /// Records that an upstream writes a part to the store; a write that has not expired
     /// keeps its time.
     pub fn record_write(&self, writer: &Name, key: u64, now: UnixMs) {
--- a/crates/bilberry-gateway/src/upstream.rs
+++ b/crates/bilberry-gateway/src/upstream.rs
@@ -1,7 +1,7 @@
 //! The current knowledge of an entry about one upstream.
 
 mod live;
-pub(crate) mod seat;
+pub(crate) mod reservation;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,8 +23,8 @@
 use tokio::sync::watch;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::EngineTerms;
-use crate::Listed;
+use crate::EngineConfig;
+use crate::Listing;
 use crate::ServerStatus;
 use crate::upstream::live::Live;
 
@@ -106,7 +106,7 @@
 
 impl Upstream {
     /// Creates an upstream of which only its listing is known.
-    pub fn new(listed: &Listed) -> Self {
+    pub fn new(listed: &Listing) -> Self {
         let live = Live::new(listed);
         Self {
             id: listed.id.clone(),
@@ -132,7 +132,7 @@
     }
 
     /// Applies a new listing of this incarnation.
-    pub fn update(&self, listed: &Listed) {
+    pub fn update(&self, listed: &Listing) {
         let mut live = self.live.lock().unwrap();
         live.slots = listed.slots;
         let starts_leaving = listed.leaving && !live.leaving;
@@ -207,7 +207,7 @@
             let models = models.map(|(name, _)| (name.clone(), reported_version(name)));
             (live.slots, models.collect())
         };
-        let next = Self::new(&Listed {
+        let next = Self::new(&Listing {
             id: self.id.clone(),
             pool: self.pool.clone(),
             address: self.address,
@@ -425,7 +425,7 @@
         &self,
         now: UnixMs,
         own_place: &str,
-        engine: Option<EngineTerms>,
+        engine: Option<EngineConfig>,
     ) -> PlacementCandidate {
         let live = self.live.lock().unwrap();
         let feed = live.fresh_feed(now);
--- a/crates/bilberry-gateway/src/upstream/live.rs
+++ b/crates/bilberry-gateway/src/upstream/live.rs
@@ -5,7 +5,7 @@
 use bilberry_core::UnixMs;
 use bilberry_wire::UpstreamState;
 
-use crate::Listed;
+use crate::Listing;
 use crate::ServerLoad;
 
 /// How long a state from a sidecar is current; sidecars repeat it three times as often.
@@ -50,7 +50,7 @@
 
 impl Live {
     /// Creates the state of an upstream of which only its listing is known.
-    pub(super) fn new(listed: &Listed) -> Self {
+    pub(super) fn new(listed: &Listing) -> Self {
         Self {
             slots: listed.slots,
             leaving: listed.leaving,
--- a/crates/bilberry-gateway/src/upstream/seat.rs
+++ b/crates/bilberry-gateway/src/upstream/reservation.rs
@@ -8,7 +8,7 @@
 
 /// A request's reservation of a slot and memory at an upstream, released on drop.
 #[derive(Debug)]
-pub struct Seat {
+pub struct Reservation {
     /// The upstream.
     pub upstream: Arc<Upstream>,
     memory_tokens: u64,
@@ -18,7 +18,7 @@
     freed: Arc<Notify>,
 }
 
-impl Seat {
+impl Reservation {
     /// Reserves a slot and `memory_tokens` of memory for a request with
     /// `pending_tokens` to prefill.
     pub fn take(
@@ -60,7 +60,7 @@
     }
 }
 
-impl Drop for Seat {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.prompt_is_read();
         let mut live = self.upstream.live.lock().unwrap();
--- a/crates/bilberry-gateway/src/upstreams.rs
+++ b/crates/bilberry-gateway/src/upstreams.rs
@@ -16,7 +16,7 @@
 use bilberry_wire::UpstreamState;
 use tokio::sync::Notify;
 
-use crate::Listed;
+use crate::Listing;
 use crate::Upstream;
 
 /// The maximum number of unlisted upstreams whose announced shutdown is remembered.
@@ -47,7 +47,7 @@
 #[derive(Debug, Default)]
 struct DeferredListings {
     named_pools: HashSet<Name>,
-    by_id: HashMap<Name, Listed>,
+    by_id: HashMap<Name, Listing>,
 }
 
 impl Upstreams {
@@ -57,7 +57,7 @@
     /// a server of an unknown service. If it had the address of a server in use, it
     /// would count as the later one at that address, and the server would get no more
     /// work.
-    pub fn put(&self, listed: &Listed) -> Option<Arc<Upstream>> {
+    pub fn put(&self, listed: &Listing) -> Option<Arc<Upstream>> {
         // Locked throughout, so that a configuration that names the service concurrently
         // finds the listing either deferred or in use.
         let mut deferred = self.deferred.lock().unwrap();
@@ -81,7 +81,7 @@
     /// Applies a listing whose service is named.
     ///
     /// A listing of an earlier incarnation is ignored: it was read or written late.
-    fn put_named(&self, listed: &Listed) -> Option<Arc<Upstream>> {
+    fn put_named(&self, listed: &Listing) -> Option<Arc<Upstream>> {
         let mut by_id = self.by_id.lock().unwrap();
         let known = by_id.get(&listed.id).cloned();
         let ended = match known {
@@ -268,7 +268,7 @@
 
 impl DeferredListings {
     /// Defers a listing if its service is not named; returns whether it did.
-    fn defer(&mut self, listed: &Listed) -> bool {
+    fn defer(&mut self, listed: &Listing) -> bool {
         self.by_id.remove(&listed.id);
         let is_named = self.named_pools.contains(&listed.pool);
         if !is_named {
@@ -279,7 +279,7 @@
 
     /// Sets the named services; removes and returns the listings that are no longer
     /// deferred.
-    fn release_named(&mut self, pools: impl IntoIterator<Item = Name>) -> Vec<Listed> {
+    fn release_named(&mut self, pools: impl IntoIterator<Item = Name>) -> Vec<Listing> {
         self.named_pools = pools.into_iter().collect();
         let named_pools = &self.named_pools;
         let released =
@@ -289,7 +289,7 @@
 }
 
 /// Reports whether a listing has the address and service of the server known by its id.
-fn is_same(known: &Upstream, listed: &Listed) -> bool {
+fn is_same(known: &Upstream, listed: &Listing) -> bool {
     known.address == listed.address && known.pool == listed.pool
 }
 
--- a/crates/bilberry-gateway/tests/connections.rs
+++ b/crates/bilberry-gateway/tests/connections.rs
@@ -3,7 +3,7 @@
 use std::io::ErrorKind;
 
 use bilberry_core::BootClock;
-use bilberry_gateway::Connections;
+use bilberry_gateway::ConnectionPool;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 
@@ -15,7 +15,7 @@
     // read on the upstream's side shows which of the two was sent.
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port should be free");
     let address = listener.local_addr().expect("the listener should have an address");
-    let connections = Connections::new(BootClock::new());
+    let connections = ConnectionPool::new(BootClock::new());
     let connection =
         connections.get(address, false).await.expect("connecting should succeed");
     let (mut accepted, _) = listener.accept().await.expect("connecting should succeed");
--- a/crates/bilberry-gateway/tests/incarnations.rs
+++ b/crates/bilberry-gateway/tests/incarnations.rs
@@ -9,10 +9,10 @@
 use bilberry_core::PlacementCandidate;
 use bilberry_core::StorePosition;
 use bilberry_core::UnixMs;
-use bilberry_gateway::EngineTerms;
-use bilberry_gateway::KeptParts;
-use bilberry_gateway::Listed;
-use bilberry_gateway::Seat;
+use bilberry_gateway::EngineConfig;
+use bilberry_gateway::Listing;
+use bilberry_gateway::Reservation;
+use bilberry_gateway::StoreContents;
 use bilberry_gateway::Upstream;
 use bilberry_gateway::Upstreams;
 use bilberry_wire::CacheChange;
@@ -23,7 +23,7 @@
 const ID: &str = "engine-0";
 const MODEL: &str = "model-a";
 const NOW: UnixMs = UnixMs(1_000_000);
-const TERMS: EngineTerms = EngineTerms {
+const TERMS: EngineConfig = EngineConfig {
     memory_tokens: 1_000,
     keeps_backups: true,
     stops_runs: true,
@@ -31,8 +31,8 @@
 };
 
 /// Returns a listing of the incarnation that started at `born_ms`.
-fn listed(born_ms: Option<u64>, version: u64) -> Listed {
-    Listed {
+fn listed(born_ms: Option<u64>, version: u64) -> Listing {
+    Listing {
         id: ID.into(),
         pool: "llm".into(),
         address: "127.0.0.1:8080".parse().expect("an address"),
@@ -64,8 +64,8 @@
     current(upstreams).offer(NOW, "hall-a", Some(TERMS))
 }
 
-fn take_seat(upstreams: &Upstreams) -> Seat {
-    Seat::take(current(upstreams), 400, 300, upstreams.changed.clone())
+fn take_seat(upstreams: &Upstreams) -> Reservation {
+    Reservation::take(current(upstreams), 400, 300, upstreams.changed.clone())
 }
 
 /// Announces the next incarnation through the list or the sidecar.
@@ -186,7 +186,7 @@
     // Parts that the engine had prefilled but not sent to the store are lost in the
     // restart, so they are offered to the store again. Writes of other upstreams still
     // count.
-    let kept = KeptParts::default();
+    let kept = StoreContents::default();
     let [first, second] = ["engine-0", "engine-1"].map(Name::from);
     kept.record_write(&first, 1, NOW);
     kept.record_write(&second, 2, NOW);
@@ -221,10 +221,10 @@
         let upstreams = one_upstream();
         restart(&upstreams, by_list);
         let next = current(&upstreams);
-        let late = Listed { leaving: true, slots: 9, ..listed(Some(1), 5) };
+        let late = Listing { leaving: true, slots: 9, ..listed(Some(1), 5) };
         assert!(upstreams.put(&late).is_none());
         let moved = "127.0.0.2:8080".parse().expect("an address");
-        assert!(upstreams.put(&Listed { address: moved, ..late }).is_none());
+        assert!(upstreams.put(&Listing { address: moved, ..late }).is_none());
         let late = UpstreamState { up: false, ..state(Some(1), 5) };
         assert!(upstreams.feed(ID, late, NOW).is_none());
         assert!(Arc::ptr_eq(&next, &current(&upstreams)));
@@ -304,7 +304,7 @@
     // listing with a start time replaces it. A sidecar always reports the server that
     // it runs beside.
     let upstreams = no_upstreams();
-    upstreams.put(&Listed { leaving: true, ..listed(None, 5) });
+    upstreams.put(&Listing { leaving: true, ..listed(None, 5) });
     assert!(upstreams.put(&listed(Some(1), 1)).is_some());
     assert!(offer(&upstreams).usable);
     assert_eq!(current(&upstreams).weights(MODEL, NOW), Some(1));
@@ -319,7 +319,7 @@
     // An upstream that was listed first restarts at the address of one that was listed
     // later. Requests must go to the server that answers there now.
     let upstreams = no_upstreams();
-    let other = Listed {
+    let other = Listing {
         id: "engine-9".into(),
         listed_at: StorePosition { era: None, revision: 2 },
         ..listed(Some(2), 1)
--- a/crates/bilberry-gateway/tests/knowledge.rs
+++ b/crates/bilberry-gateway/tests/knowledge.rs
@@ -6,12 +6,12 @@
 use bilberry_core::StorePosition;
 use bilberry_core::UnixMs;
 use bilberry_core::part_key;
-use bilberry_gateway::KeptParts;
-use bilberry_gateway::Listed;
-use bilberry_gateway::Pace;
+use bilberry_gateway::Listing;
 use bilberry_gateway::PromptKeys;
 use bilberry_gateway::PromptPart;
-use bilberry_gateway::Seat;
+use bilberry_gateway::Reservation;
+use bilberry_gateway::SpeedEstimates;
+use bilberry_gateway::StoreContents;
 use bilberry_gateway::Upstream;
 use bilberry_wire::CacheChange;
 use bilberry_wire::UpstreamState;
@@ -21,7 +21,7 @@
 }
 
 fn engine() -> Upstream {
-    Upstream::new(&Listed {
+    Upstream::new(&Listing {
         id: "engine-0".into(),
         pool: "llm".into(),
         address: "10.0.0.1:8000".parse().unwrap(),
@@ -41,7 +41,7 @@
 
 #[test]
 fn the_pace_of_an_engine_is_a_moving_average_of_its_answers() {
-    let pace = Pace::default();
+    let pace = SpeedEstimates::default();
     let pool = Name::from("llm");
     let first_us = pace.token_us(&pool);
     // One delayed answer moves the mean by a sixteenth of the difference.
@@ -59,7 +59,7 @@
     // The store evicts the least recently used parts. Without a reporting sidecar, a part
     // counts as kept for some seconds after it was written. With one, it counts while the
     // store holds it, and for the short time until the report of a write can arrive.
-    let kept = KeptParts::default();
+    let kept = StoreContents::default();
     let writer = Name::from("engine-1");
     kept.record_write(&writer, 1, at(0));
     assert!(kept.has(1, at(10_000)));
@@ -91,7 +91,7 @@
     let now = at(0);
     let upstream = engine();
     upstream.feed(idle(), now);
-    let kept = KeptParts::default();
+    let kept = StoreContents::default();
     assert_eq!(keys.held_tokens(&upstream, now), 0);
     upstream.expect_part(part_keys[0], now);
     upstream.expect_part(part_keys[2], now);
@@ -162,7 +162,7 @@
     // restriction.
     let engine = Arc::new(engine());
     let usable = |now: u64| engine.offer(at(now), "a", None).usable;
-    let seat = || Seat::take(engine.clone(), 10, 10, Arc::default());
+    let seat = || Reservation::take(engine.clone(), 10, 10, Arc::default());
     engine.feed(idle(), at(0));
     let before = seat();
     engine.clear_feed();
--- a/crates/bilberry-steward/src/engine.rs
+++ b/crates/bilberry-steward/src/engine.rs
@@ -67,7 +67,7 @@
     /// The engine executes the order.
     Accepted,
     /// The order is already in effect.
-    Holds,
+    AlreadyApplied,
     /// Another order is in progress or has been accepted in the meantime.
     Conflict,
     /// The weights are unknown or the order is malformed.
@@ -79,27 +79,27 @@
 /// The engine did not respond.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("no response from the engine: {0}; it is queried again")]
-pub struct EngineSilent(pub String);
+pub struct EngineError(pub String);
 
 /// A client of the sidecar's engine.
 pub trait Engine: Send + Sync + 'static {
     /// Queries the engine's state.
-    fn report(&self) -> impl Future<Output = Result<EngineReport, EngineSilent>> + Send;
+    fn report(&self) -> impl Future<Output = Result<EngineReport, EngineError>> + Send;
 
     /// Orders the engine to load weights.
     fn load(
         &self,
         order: &LoadOrder,
-    ) -> impl Future<Output = Result<OrderReply, EngineSilent>> + Send;
+    ) -> impl Future<Output = Result<OrderReply, EngineError>> + Send;
 
     /// Waits for cache events after a position.
     fn cache_events(
         &self,
         since: u64,
-    ) -> impl Future<Output = Result<CacheEvents, EngineSilent>> + Send;
+    ) -> impl Future<Output = Result<CacheEvents, EngineError>> + Send;
 
     /// Lists the contents of the engine's cache; this stalls the engine.
     fn cache_listing(
         &self,
-    ) -> impl Future<Output = Result<CacheListing, EngineSilent>> + Send;
+    ) -> impl Future<Output = Result<CacheListing, EngineError>> + Send;
 }
--- a/crates/bilberry-steward/src/steward.rs
+++ b/crates/bilberry-steward/src/engine_controller.rs
@@ -19,11 +19,11 @@
 use crate::CacheView;
 use crate::Engine;
 use crate::EngineReport;
-use crate::FirstOrder;
+use crate::LatestWeights;
 use crate::LoadOrder;
-use crate::Newest;
+use crate::OrderGate;
 use crate::OrderReply;
-use crate::StewardMetrics;
+use crate::SidecarMetrics;
 use crate::SwapMode;
 
 /// The interval between polls of the engine.
@@ -53,17 +53,17 @@
 
 /// Polls one engine, publishes its state and orders it to load weights.
 #[derive(Debug)]
-pub struct Steward<E, C> {
+pub struct EngineController<E, C> {
     engine: E,
     clock: C,
     holder: String,
     weights_bound_ms: Option<u64>,
-    newest: Arc<Newest>,
+    newest: Arc<LatestWeights>,
     cache: Arc<CacheView>,
-    first_order: Arc<FirstOrder>,
+    first_order: Arc<OrderGate>,
     state: watch::Sender<EngineState>,
     /// Counters and gauges.
-    pub metrics: StewardMetrics,
+    pub metrics: SidecarMetrics,
 }
 
 /// The engine state that a steward publishes.
@@ -116,7 +116,7 @@
     sent_at: UnixMs,
 }
 
-impl<E: Engine, C: Clock> Steward<E, C> {
+impl<E: Engine, C: Clock> EngineController<E, C> {
     /// Creates a steward.
     ///
     /// `holder` names this host in orders. `weights_bound_ms` is the time after which no
@@ -126,7 +126,7 @@
         clock: C,
         holder: String,
         weights_bound_ms: Option<u64>,
-        newest: Arc<Newest>,
+        newest: Arc<LatestWeights>,
         cache: Arc<CacheView>,
     ) -> Self {
         Self {
@@ -138,12 +138,12 @@
             cache,
             first_order: Arc::default(),
             state: watch::Sender::default(),
-            metrics: StewardMetrics::new(),
+            metrics: SidecarMetrics::new(),
         }
     }
 
     /// Sends no order before `first_order` allows it.
-    pub fn after(self, first_order: Arc<FirstOrder>) -> Self {
+    pub fn after(self, first_order: Arc<OrderGate>) -> Self {
         Self { first_order, ..self }
     }
 
@@ -171,7 +171,7 @@
         match timeout(ENGINE_TIMEOUT, self.engine.report()).await {
             Ok(Ok(report)) => Some(report),
             Ok(Err(error)) => {
-                log::debug!("{error}");
+                log::debug!(target: "bilberry_steward::steward", "{error}");
                 None
             }
             Err(_) => None,
@@ -342,7 +342,7 @@
         let reply = timeout(ENGINE_TIMEOUT, self.engine.load(&order)).await;
         let (outcome, delay_ms) = match &reply {
             Ok(Ok(OrderReply::Accepted)) => ("accepted", ORDER_DELAY_MS),
-            Ok(Ok(OrderReply::Holds)) => ("holds", ORDER_DELAY_MS),
+            Ok(Ok(OrderReply::AlreadyApplied)) => ("holds", ORDER_DELAY_MS),
             Ok(Ok(OrderReply::Conflict)) => ("conflict", ORDER_DELAY_MS),
             Ok(Ok(OrderReply::OtherIncarnation)) => {
                 ("other_incarnation", ORDER_RETRY_DELAY_MS)
--- a/crates/bilberry-steward/src/feed.rs
+++ b/crates/bilberry-steward/src/feed.rs
@@ -34,7 +34,7 @@
 use crate::Engine;
 use crate::EngineState;
 use crate::FollowedStore;
-use crate::Newest;
+use crate::LatestWeights;
 use crate::PromptStores;
 use crate::WatchHub;
 use crate::WatchSource;
@@ -64,7 +64,7 @@
     /// The prompt stores that are followed at the request of entries.
     pub stores: PromptStores<E>,
     /// The newest known weights.
-    pub newest: Arc<Newest>,
+    pub newest: Arc<LatestWeights>,
     /// The crash reports of entries.
     pub crashes: CrashRelay,
     /// Watches the platform's store on behalf of entries.
--- a/crates/bilberry-steward/src/newest.rs
+++ b/crates/bilberry-steward/src/latest_weights.rs
@@ -11,7 +11,7 @@
 
 /// The newest weights of a service's models, and the engine's place in rollouts.
 #[derive(Debug, Default)]
-pub struct Newest {
+pub struct LatestWeights {
     known: Mutex<Known>,
 }
 
@@ -21,7 +21,7 @@
     place: Option<RolloutPlace>,
 }
 
-impl Newest {
+impl LatestWeights {
     /// Records that weights exist; older versions change nothing.
     pub fn hear(&self, model: &str, version: u64, now: UnixMs) {
         let mut known = self.known.lock().unwrap();
--- a/crates/bilberry-steward/src/metrics.rs
+++ b/crates/bilberry-steward/src/metrics.rs
@@ -24,7 +24,7 @@
 
 /// All metrics of a sidecar.
 #[derive(Debug)]
-pub struct StewardMetrics {
+pub struct SidecarMetrics {
     registry: Mutex<Registry>,
     /// Orders to load weights, by outcome.
     pub orders: Family<OrderLabel, Counter>,
@@ -48,7 +48,7 @@
     pub era_changes: EraChanges,
 }
 
-impl StewardMetrics {
+impl SidecarMetrics {
     /// Creates and registers all metrics.
     pub fn new() -> Self {
         let metrics = Self {
@@ -98,7 +98,7 @@
     }
 }
 
-impl Default for StewardMetrics {
+impl Default for SidecarMetrics {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/bilberry-steward/src/first_order.rs
+++ b/crates/bilberry-steward/src/order_gate.rs
@@ -10,11 +10,11 @@
 /// do not check fencing tokens would obey both, so their orders are kept a lease duration
 /// apart.
 #[derive(Debug, Default)]
-pub struct FirstOrder {
+pub struct OrderGate {
     allowed_at: Mutex<UnixMs>,
 }
 
-impl FirstOrder {
+impl OrderGate {
     /// Allows orders from `allowed_at` onwards.
     pub fn at(allowed_at: UnixMs) -> Self {
         Self { allowed_at: Mutex::new(allowed_at) }
--- a/crates/bilberry-steward/src/watch_hub.rs
+++ b/crates/bilberry-steward/src/watch_hub.rs
@@ -46,11 +46,11 @@
 
 /// The result of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SourceAnswer {
+pub enum SourceResponse {
     /// Nothing changed up to this position.
-    Quiet(StorePosition),
+    Unchanged(StorePosition),
     /// Something changed.
-    News {
+    Changed {
         /// The position up to which the changes are complete.
         position: StorePosition,
         /// The changes in the encoding of the store.
@@ -63,7 +63,7 @@
 /// The store did not give a usable answer.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("the store does not answer: {0}; entries query it directly in the meantime")]
-pub struct SourceLost(pub String);
+pub struct WatchSourceError(pub String);
 
 /// A client of the platform's store.
 pub trait WatchSource: Clone + Send + Sync + 'static {
@@ -73,7 +73,7 @@
         kind: &str,
         revision: u64,
         wait_ms: u64,
-    ) -> impl Future<Output = Result<SourceAnswer, SourceLost>> + Send;
+    ) -> impl Future<Output = Result<SourceResponse, WatchSourceError>> + Send;
 }
 
 /// Watches kinds of objects while clients request their changes.
@@ -224,16 +224,16 @@
             let called_at = self.clock.now();
             let call = self.source.watch(&kind, position.revision, params.wait_ms);
             let update = match call.await {
-                Ok(SourceAnswer::Quiet(to)) => {
+                Ok(SourceResponse::Unchanged(to)) => {
                     let latest = called_at.plus_ms(params.wait_ms);
                     let known_at = latest.min(self.clock.now());
                     WatchResult { from: position, to, news: None, known_at }
                 }
-                Ok(SourceAnswer::News { position: to, changes }) => {
+                Ok(SourceResponse::Changed { position: to, changes }) => {
                     let news = Some(changes);
                     WatchResult { from: position, to, news, known_at: called_at }
                 }
-                Ok(SourceAnswer::HistoryLost) => break,
+                Ok(SourceResponse::HistoryLost) => break,
                 Err(error) => {
                     self.log_failure(&kind, &error);
                     self.broadcast(&kind, Outcome::Failed);
@@ -291,7 +291,7 @@
     }
 
     /// Logs the first of consecutive failures.
-    fn log_failure(&self, kind: &Name, error: &SourceLost) {
+    fn log_failure(&self, kind: &Name, error: &WatchSourceError) {
         let watches = self.watches.lock().unwrap();
         if watches.get(kind).is_some_and(|shared| !shared.failing) {
             log::warn!(target: "store", kind = kind.as_str(), reason = error.to_string().as_str(); "lost while watching for entries");
--- a/crates/bilberry-steward/tests/incarnations.rs
+++ b/crates/bilberry-steward/tests/incarnations.rs
@@ -14,13 +14,13 @@
 use bilberry_steward::CacheView;
 use bilberry_steward::CachedPart;
 use bilberry_steward::Engine;
+use bilberry_steward::EngineController;
+use bilberry_steward::EngineError;
 use bilberry_steward::EngineReport;
-use bilberry_steward::EngineSilent;
 use bilberry_steward::EngineState;
+use bilberry_steward::LatestWeights;
 use bilberry_steward::LoadOrder;
-use bilberry_steward::Newest;
 use bilberry_steward::OrderReply;
-use bilberry_steward::Steward;
 use bilberry_wire::CacheChange;
 use bilberry_wire::ModelVersion;
 use bilberry_wire::ReadingNotice;
@@ -61,11 +61,11 @@
 }
 
 impl Engine for ScriptedEngine {
-    async fn report(&self) -> Result<EngineReport, EngineSilent> {
+    async fn report(&self) -> Result<EngineReport, EngineError> {
         Ok(self.answers.borrow().report.clone())
     }
 
-    async fn load(&self, order: &LoadOrder) -> Result<OrderReply, EngineSilent> {
+    async fn load(&self, order: &LoadOrder) -> Result<OrderReply, EngineError> {
         self.orders.lock().unwrap().push(order.clone());
         self.change(|answers| {
             answers.report = answers.after_order.take().unwrap_or(answers.report.clone());
@@ -73,16 +73,16 @@
         Ok(OrderReply::Accepted)
     }
 
-    async fn cache_events(&self, _: u64) -> Result<CacheEvents, EngineSilent> {
+    async fn cache_events(&self, _: u64) -> Result<CacheEvents, EngineError> {
         let mut answers = self.answers.subscribe();
         let answered = answers.wait_for(|answers| answers.events.is_some()).await;
-        answered.map_err(|error| EngineSilent(error.to_string()))?;
+        answered.map_err(|error| EngineError(error.to_string()))?;
         let mut taken = None;
         self.change(|answers| taken = answers.events.take());
-        taken.ok_or_else(|| EngineSilent("taken by another request".to_string()))
+        taken.ok_or_else(|| EngineError("taken by another request".to_string()))
     }
 
-    async fn cache_listing(&self) -> Result<CacheListing, EngineSilent> {
+    async fn cache_listing(&self) -> Result<CacheListing, EngineError> {
         Ok(self.answers.borrow().listing.clone())
     }
 }
@@ -116,14 +116,20 @@
 /// Starts a steward for an engine.
 fn start_steward(
     engine: &ScriptedEngine,
-    newest: Newest,
-) -> Arc<Steward<ScriptedEngine, BootClock>> {
+    newest: LatestWeights,
+) -> Arc<EngineController<ScriptedEngine, BootClock>> {
     let cache = Arc::new(CacheView::new());
     let holder = "sidecar-0".to_string();
     let clock = BootClock::new();
     let newest = Arc::new(newest);
-    let steward =
-        Arc::new(Steward::new(engine.clone(), clock, holder, None, newest, cache));
+    let steward = Arc::new(EngineController::new(
+        engine.clone(),
+        clock,
+        holder,
+        None,
+        newest,
+        cache,
+    ));
     tokio::spawn(steward.clone().run());
     steward
 }
@@ -143,7 +149,7 @@
     // if that persists.
     let engine =
         ScriptedEngine::new(Answers { report: report(2, 1, 0), ..Answers::default() });
-    let steward = start_steward(&engine, Newest::default());
+    let steward = start_steward(&engine, LatestWeights::default());
     let mut states = steward.state();
     wait_for_state(&mut states, |state| state.upstream.born_ms == Some(2)).await;
     engine.change(|answers| answers.report = report(1, 7, 3));
@@ -160,7 +166,7 @@
     // of zero. These weights were not loaded by the order, so they must not count as a
     // measured load. After another restart with old weights, a second order must carry the
     // new incarnation and its order count.
-    let newest = Newest::default();
+    let newest = LatestWeights::default();
     newest.hear(MODEL, 3, BootClock::new().now());
     let engine = ScriptedEngine::new(Answers {
         report: report(1, 2, 5),
--- a/crates/bilberry-steward/tests/loads.rs
+++ b/crates/bilberry-steward/tests/loads.rs
@@ -11,13 +11,13 @@
 use bilberry_steward::CacheListing;
 use bilberry_steward::CacheView;
 use bilberry_steward::Engine;
+use bilberry_steward::EngineController;
+use bilberry_steward::EngineError;
 use bilberry_steward::EngineReport;
-use bilberry_steward::EngineSilent;
 use bilberry_steward::EngineState;
+use bilberry_steward::LatestWeights;
 use bilberry_steward::LoadOrder;
-use bilberry_steward::Newest;
 use bilberry_steward::OrderReply;
-use bilberry_steward::Steward;
 use bilberry_wire::ModelVersion;
 use tokio::sync::watch;
 use tokio::time::timeout;
@@ -45,20 +45,20 @@
 }
 
 impl Engine for StubEngine {
-    async fn report(&self) -> Result<EngineReport, EngineSilent> {
+    async fn report(&self) -> Result<EngineReport, EngineError> {
         Ok(self.report.borrow().clone())
     }
 
-    async fn load(&self, _: &LoadOrder) -> Result<OrderReply, EngineSilent> {
+    async fn load(&self, _: &LoadOrder) -> Result<OrderReply, EngineError> {
         self.orders.send_modify(|orders| *orders += 1);
         Ok(OrderReply::Accepted)
     }
 
-    async fn cache_events(&self, _: u64) -> Result<CacheEvents, EngineSilent> {
+    async fn cache_events(&self, _: u64) -> Result<CacheEvents, EngineError> {
         std::future::pending().await
     }
 
-    async fn cache_listing(&self) -> Result<CacheListing, EngineSilent> {
+    async fn cache_listing(&self) -> Result<CacheListing, EngineError> {
         Ok(CacheListing::default())
     }
 }
@@ -77,9 +77,9 @@
     engine: &StubEngine,
     clock: &ManualClock,
 ) -> watch::Receiver<EngineState> {
-    let newest = Newest::default();
+    let newest = LatestWeights::default();
     newest.hear(MODEL, 3, clock.now());
-    let steward = Arc::new(Steward::new(
+    let steward = Arc::new(EngineController::new(
         engine.clone(),
         clock.clone(),
         "sidecar-0".to_string(),
--- a/crates/bilberry-steward/tests/watch_hub.rs
+++ b/crates/bilberry-steward/tests/watch_hub.rs
@@ -6,10 +6,10 @@
 use bilberry_core::Clock;
 use bilberry_core::StorePosition;
 use bilberry_core::UnixMs;
-use bilberry_steward::SourceAnswer;
-use bilberry_steward::SourceLost;
+use bilberry_steward::SourceResponse;
 use bilberry_steward::WatchHub;
 use bilberry_steward::WatchSource;
+use bilberry_steward::WatchSourceError;
 use bilberry_wire::WatchOutcome;
 use bilberry_wire::WatchRequest;
 use bilberry_wire::WatchResponse;
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-type Answer = Result<SourceAnswer, SourceLost>;
+type Answer = Result<SourceResponse, WatchSourceError>;
 
 /// A store that gives the answers of a test and records its calls.
 #[derive(Clone)]
@@ -103,11 +103,14 @@
 }
 
 fn changed_to(position: StorePosition, changes: &'static str) -> Answer {
-    Ok(SourceAnswer::News { position, changes: Bytes::from_static(changes.as_bytes()) })
+    Ok(SourceResponse::Changed {
+        position,
+        changes: Bytes::from_static(changes.as_bytes()),
+    })
 }
 
 fn unchanged(revision: u64) -> Answer {
-    Ok(SourceAnswer::Quiet(at(None, revision)))
+    Ok(SourceResponse::Unchanged(at(None, revision)))
 }
 
 async fn response(pending: JoinHandle<WatchResponse>) -> WatchResponse {
@@ -156,7 +159,7 @@
     // this, the hub must not delay requests after its first call has failed.
     let fixture = Fixture::new();
     let waiting = fixture.request(7).await;
-    fixture.respond(Err(SourceLost("cut off".to_string())));
+    fixture.respond(Err(WatchSourceError("cut off".to_string())));
     assert_eq!(response(waiting).await.outcome(), WatchOutcome::StoreUnavailable);
     assert_eq!(
         response(fixture.request(7).await).await.outcome(),
@@ -206,7 +209,7 @@
 async fn all_entries_must_query_the_store_after_it_loses_history() {
     let fixture = Fixture::new();
     let waiting = fixture.request(7).await;
-    fixture.respond(Ok(SourceAnswer::HistoryLost));
+    fixture.respond(Ok(SourceResponse::HistoryLost));
     assert_eq!(response(waiting).await.outcome(), WatchOutcome::OutOfSync);
     // The next request starts a new watch.
     let again = fixture.request(20).await;
@@ -257,10 +260,10 @@
     let fixture = Fixture::new();
     let first = fixture.request_from(at(Some(1), 12)).await;
     let ahead = fixture.request_from(at(Some(2), 5)).await;
-    fixture.respond(Ok(SourceAnswer::Quiet(at(Some(1), 12))));
+    fixture.respond(Ok(SourceResponse::Unchanged(at(Some(1), 12))));
     assert_eq!(response(first).await.outcome(), WatchOutcome::Unchanged);
     assert!(!ahead.is_finished());
-    fixture.respond(Ok(SourceAnswer::Quiet(at(Some(2), 6))));
+    fixture.respond(Ok(SourceResponse::Unchanged(at(Some(2), 6))));
     assert_eq!(response(ahead).await.outcome(), WatchOutcome::OutOfSync);
 }
 
--- a/crates/bilberryd/src/hosted.rs
+++ b/crates/bilberryd/src/hosted.rs
@@ -36,11 +36,11 @@
 use bilberry_node::bind;
 use bilberry_steward::CacheView;
 use bilberry_steward::CrashRelay;
+use bilberry_steward::EngineController;
 use bilberry_steward::Feed;
-use bilberry_steward::FirstOrder;
-use bilberry_steward::Newest;
+use bilberry_steward::LatestWeights;
+use bilberry_steward::OrderGate;
 use bilberry_steward::PromptStores;
-use bilberry_steward::Steward;
 use bilberry_steward::WatchHub;
 use bilberry_steward::serve_feed;
 use thiserror::Error;
@@ -206,18 +206,18 @@
 async fn run_sidecar(settings: HostSettings) -> Result<bool, HostedError> {
     let engine = settings.engine.ok_or(HostedError::NoAddress("the engine"))?;
     let clock = BootClock::new();
-    let newest = Arc::new(Newest::default());
+    let newest = Arc::new(LatestWeights::default());
     let holder = settings.host.to_string();
     let cache = Arc::new(CacheView::new());
     // Bind first: from now on no entry sends orders to this engine.
     let feed = bind("peers", SocketAddr::new(settings.bind, settings.peers_port)).await?;
     let first_order_delay_ms =
         settings.lease_ms.map_or(0, |lease_ms| lease_ms + ORDER_MS);
-    let first_order = Arc::new(FirstOrder::at(clock.now().plus_ms(first_order_delay_ms)));
+    let first_order = Arc::new(OrderGate::at(clock.now().plus_ms(first_order_delay_ms)));
     // Use a separate client, so that long polling for cache events does not delay the
     // health checks of the engine.
     tokio::spawn(cache.clone().follow(HttpEngine::new(engine)));
-    let steward = Steward::new(
+    let steward = EngineController::new(
         HttpEngine::new(engine),
         clock,
         holder,
--- a/crates/bilberryd/src/status.rs
+++ b/crates/bilberryd/src/status.rs
@@ -8,7 +8,7 @@
 use bilberry_gateway::Gateway;
 use bilberry_node::HttpHandler;
 use bilberry_node::OutBody;
-use bilberry_steward::Steward;
+use bilberry_steward::EngineController;
 use hyper::Request;
 use hyper::Response;
 use hyper::StatusCode;
@@ -33,7 +33,7 @@
     }
 }
 
-impl Status for Steward<HttpEngine, BootClock> {
+impl Status for EngineController<HttpEngine, BootClock> {
     fn is_ready(&self) -> bool {
         self.state().borrow().upstream.up
     }
