--- a/crates/bilberry-core/src/announced_weights.rs
+++ b/crates/bilberry-core/src/announced_weights.rs
@@ -28,7 +28,7 @@
     /// Only the first report of a version sets its time, because later reports say
     /// nothing about when it was announced. Versions only increase, so a version was
     /// announced before any newer one and after any older one.
-    pub fn note(&mut self, version: u64, since: UnixMs) -> bool {
+    pub fn record(&mut self, version: u64, since: UnixMs) -> bool {
         let index = self.versions.partition_point(|&(known, _)| known < version);
         let is_known =
             self.versions.get(index).is_some_and(|&(known, _)| known == version);
@@ -55,7 +55,7 @@
     }
 
     /// Returns the time since which a server with this version lacks newer weights.
-    pub fn lacking_since(&self, version: u64) -> Option<UnixMs> {
+    pub fn outdated_since(&self, version: u64) -> Option<UnixMs> {
         let newer = self.versions.partition_point(|&(known, _)| known <= version);
         self.versions.get(newer).map(|&(_, at)| at)
     }
--- a/crates/bilberry-core/src/breaker.rs
+++ b/crates/bilberry-core/src/breaker.rs
@@ -42,7 +42,7 @@
     }
 
     /// Reports whether a call may be made; a half-open breaker admits only one.
-    pub fn admit(&mut self, now: UnixMs) -> bool {
+    pub fn try_acquire(&mut self, now: UnixMs) -> bool {
         match self.state(now) {
             BreakerState::Closed => true,
             BreakerState::Open => false,
@@ -57,12 +57,12 @@
     }
 
     /// Records a successful call and closes the breaker.
-    pub fn succeed(&mut self) {
+    pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
     /// Records a failed call; an open breaker refuses calls until `retry_at`.
-    pub fn fail(&mut self, retry_at: UnixMs) {
+    pub fn record_failure(&mut self, retry_at: UnixMs) {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.open_until = retry_at;
     }
--- a/crates/bilberry-core/src/chain.rs
+++ b/crates/bilberry-core/src/chain.rs
@@ -51,7 +51,7 @@
 const MARKER_SEPARATOR: char = '#';
 
 /// Returns a name for weights whose previously cached blocks must not be reused.
-pub fn marked_weights(version: &str, marker: u32) -> Name {
+pub fn weights_with_marker(version: &str, marker: u32) -> Name {
     ecow::eco_format!("{version}{MARKER_SEPARATOR}{marker:08x}")
 }
 
--- a/crates/bilberry-core/src/claim.rs
+++ b/crates/bilberry-core/src/claim.rs
@@ -62,7 +62,12 @@
 
 impl Claim {
     /// Decides how to respond to a request whose key has this claim.
-    pub fn judge(&self, attempt: &str, request_hash: &str, now: UnixMs) -> RepeatVerdict {
+    pub fn verdict_for(
+        &self,
+        attempt: &str,
+        request_hash: &str,
+        now: UnixMs,
+    ) -> RepeatVerdict {
         match &self.state {
             _ if self.request_hash != request_hash => RepeatVerdict::Mismatch,
             ClaimState::Running if self.attempt == attempt => RepeatVerdict::Own,
--- a/crates/bilberry-core/src/entry_count.rs
+++ b/crates/bilberry-core/src/entry_count.rs
@@ -29,14 +29,14 @@
 
 impl EntryCount {
     /// Returns the current count; `None` if none was ever reported.
-    pub fn get(&self) -> Option<usize> {
+    pub fn current(&self) -> Option<usize> {
         self.current
     }
 
     /// Processes the count that one sidecar reports.
     ///
     /// The highest count wins, because a sidecar may not reach all entries.
-    pub fn hear(&mut self, now: UnixMs, reported: usize) {
+    pub fn record_report(&mut self, now: UnixMs, reported: usize) {
         let is_lower = self.current.is_some_and(|current| reported < current);
         let gap_exceeded = now.ms_since(self.reported_at) >= MAX_REPORT_GAP_MS;
         self.reported_at = now;
--- a/crates/bilberry-core/src/expired_entries.rs
+++ b/crates/bilberry-core/src/expired_entries.rs
@@ -62,7 +62,7 @@
     }
 
     /// Records that a call to the store made at `asked_at` got no response.
-    pub fn note_lost(&mut self, asked_at: UnixMs) {
+    pub fn record_failed_call(&mut self, asked_at: UnixMs) {
         self.outage_began_at.get_or_insert(asked_at);
         self.failed_calls += 1;
     }
@@ -73,7 +73,7 @@
     /// server could renew its entry meanwhile. A single failed call does not count as an
     /// outage: otherwise a store that interrupts a watch every three seconds would keep a
     /// server that shut down in use forever.
-    pub fn note_answer(&mut self, now: UnixMs) {
+    pub fn record_response(&mut self, now: UnixMs) {
         let failed_calls = std::mem::take(&mut self.failed_calls);
         let Some(outage_began_at) = self.outage_began_at.take() else { return };
         if failed_calls >= MIN_OUTAGE_CALLS
@@ -85,7 +85,7 @@
 
     /// Records that the store was restored from an older backup, which may lack running
     /// servers regardless of the length of the outage.
-    pub fn note_restored(&mut self, now: UnixMs) {
+    pub fn record_restore(&mut self, now: UnixMs) {
         self.failed_calls = 0;
         self.outage_began_at = None;
         self.start_grace_period(now);
@@ -100,7 +100,7 @@
     /// Decides when a server that is no longer listed is removed.
     ///
     /// Further calls for a server that is already missing do not extend its grace period.
-    pub fn remove(&mut self, id: &Name, now: UnixMs) -> Removal {
+    pub fn mark_missing(&mut self, id: &Name, now: UnixMs) -> Removal {
         if let Some(&until) = self.missing.get(id) {
             return Removal::Deferred(until);
         }
@@ -116,23 +116,23 @@
     }
 
     /// Records that a server is listed and returns whether it was missing.
-    pub fn list(&mut self, id: &str) -> bool {
+    pub fn mark_listed(&mut self, id: &str) -> bool {
         self.missing.remove(id).is_some()
     }
 
     /// Removes and returns the servers whose grace period has ended, with the end of
     /// each.
-    pub fn take_overdue(&mut self, now: UnixMs) -> Vec<(Name, UnixMs)> {
+    pub fn take_expired(&mut self, now: UnixMs) -> Vec<(Name, UnixMs)> {
         self.missing.extract_if(.., |_, until| until.has_passed_at(now)).collect()
     }
 
     /// Returns when the next grace period ends.
-    pub fn next_due(&self) -> Option<UnixMs> {
+    pub fn next_expiry(&self) -> Option<UnixMs> {
         self.missing.values().min().copied()
     }
 
     /// Returns the number of missing servers.
-    pub fn missing(&self) -> usize {
+    pub fn missing_count(&self) -> usize {
         self.missing.len()
     }
 }
--- a/crates/bilberry-core/src/fence.rs
+++ b/crates/bilberry-core/src/fence.rs
@@ -31,7 +31,7 @@
 
 impl Tenure {
     /// Returns the fencing token for this holder's orders of a version of the weights.
-    pub fn fence(self, version: u64) -> u64 {
+    pub fn fencing_token(self, version: u64) -> u64 {
         let era_and_term = self.era.min(MAX_ERA) << TERM_BITS | self.term.min(MAX_TERM);
         first_token(version) | era_and_term
     }
@@ -41,7 +41,7 @@
 ///
 /// It is above the tokens of all other holders for this version, because a sidecar may
 /// start while another holder gives orders, and below all tokens for the next version.
-pub fn sidecar_fence(version: u64) -> u64 {
+pub fn sidecar_fencing_token(version: u64) -> u64 {
     first_token(version + 1) - 1
 }
 
--- a/crates/bilberry-core/src/freshness.rs
+++ b/crates/bilberry-core/src/freshness.rs
@@ -35,7 +35,7 @@
         if let Some(restore) = &mut self.restore {
             restore.record_response(asked_at);
         }
-        if !self.is_doubted(asked_at) {
+        if !self.is_unverified_at(asked_at) {
             self.restore = None;
             self.confirmed_at = self.confirmed_at.max(asked_at);
         }
@@ -56,7 +56,7 @@
     /// confirmation, a key revoked in the lost interval would be accepted until the
     /// revocation is written again. Until then, earlier confirmations expire as if the
     /// store were unreachable.
-    pub fn doubt(&mut self, now: UnixMs) {
+    pub fn record_restore(&mut self, now: UnixMs) {
         let until = now.plus_ms(RECOVERY_GRACE_MS);
         self.restore =
             Some(UnverifiedRestore { until, is_behind: true, failed_calls: 0 });
@@ -67,14 +67,14 @@
     /// Lost writes cannot be repeated while the store is unreachable, so an outage
     /// restarts the time until the restore counts as verified. A single failed call does
     /// not count as an outage.
-    pub fn note_lost(&mut self) {
+    pub fn record_failed_call(&mut self) {
         if let Some(restore) = &mut self.restore {
             restore.failed_calls += 1;
         }
     }
 
     /// Records whether the restored state is older than the known one.
-    pub fn note_copy(&mut self, is_behind: bool) {
+    pub fn record_restored_state(&mut self, is_behind: bool) {
         if let Some(restore) = &mut self.restore {
             restore.is_behind = is_behind;
         }
@@ -83,25 +83,25 @@
     /// Records a write after the restore of a state no older than the known one.
     ///
     /// Repeated writes carry the newest state, so nothing is missing any more.
-    pub fn note_written_again(&mut self) {
+    pub fn record_rewrite(&mut self) {
         self.restore = None;
     }
 
     /// Returns whether a response for the time `at` confirms nothing, because the store
     /// may lack earlier writes.
-    pub fn is_doubted(&self, at: UnixMs) -> bool {
+    pub fn is_unverified_at(&self, at: UnixMs) -> bool {
         self.restore.is_some_and(|restore| restore.is_behind || at < restore.until)
     }
 
     /// Returns whether a restore is unverified, that is, not yet cleared by a response or
     /// a write.
-    pub fn has_doubt(&self) -> bool {
+    pub fn has_unverified_restore(&self) -> bool {
         self.restore.is_some()
     }
 
     /// Returns when lost writes will have been repeated; `None` without an
     /// unverified restore.
-    pub fn doubted_until(&self) -> Option<UnixMs> {
+    pub fn unverified_until(&self) -> Option<UnixMs> {
         self.restore.map(|restore| restore.until)
     }
 
--- a/crates/bilberry-core/src/incarnation.rs
+++ b/crates/bilberry-core/src/incarnation.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Copy, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation {
     /// The start time by the upstream's own clock.
-    pub born_at: UnixMs,
+    pub started_at: UnixMs,
 }
 
 /// How a reported incarnation compares with the known one.
@@ -38,6 +38,6 @@
 
 impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.born_at.fmt(f)
+        self.started_at.fmt(f)
     }
 }
--- a/crates/bilberry-core/src/index.rs
+++ b/crates/bilberry-core/src/index.rs
@@ -59,7 +59,7 @@
     /// Applies an event and returns the state after it.
     pub fn apply(&mut self, event: CacheEvent) -> IndexState {
         if event.incarnation != self.incarnation {
-            self.enter(event.incarnation);
+            self.reset(event.incarnation);
         }
         match event.sequence {
             // The snapshot already includes events that precede it.
@@ -76,7 +76,7 @@
     }
 
     /// Replaces the index with a snapshot taken before event `next_sequence`.
-    pub fn replace(
+    pub fn load_snapshot(
         &mut self,
         incarnation: u64,
         next_sequence: u64,
@@ -92,7 +92,7 @@
     ///
     /// A crashed engine restarts with an empty cache. If its old blocks stayed
     /// listed, requests would be routed to it and recompute their whole prompts.
-    pub fn enter(&mut self, incarnation: u64) {
+    pub fn reset(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
         self.next_sequence = 0;
         self.state = IndexState::Synced;
@@ -110,7 +110,7 @@
     }
 
     /// Marks the index as incomplete because events were lost.
-    pub fn doubt(&mut self) {
+    pub fn mark_incomplete(&mut self) {
         self.state = IndexState::Incomplete;
     }
 
--- a/crates/bilberry-core/src/limits.rs
+++ b/crates/bilberry-core/src/limits.rs
@@ -65,7 +65,7 @@
 
 impl CustomerLimits {
     /// Admits a request; [`CustomerLimits::leave`] must be called when it ends.
-    pub fn enter(
+    pub fn try_acquire(
         &mut self,
         customer: &Name,
         allowance: Allowance,
@@ -93,7 +93,7 @@
     }
 
     /// Records the end of an admitted request.
-    pub fn leave(&mut self, customer: &Name) {
+    pub fn release(&mut self, customer: &Name) {
         if let Some(usage) = self.usage.get_mut(customer) {
             usage.in_progress = usage.in_progress.saturating_sub(1);
         }
--- a/crates/bilberry-core/src/link_budget.rs
+++ b/crates/bilberry-core/src/link_budget.rs
@@ -39,13 +39,13 @@
     /// The size, in prompt tokens.
     pub tokens: u64,
     /// Whether both ends are in the same data centre.
-    pub same_place: bool,
+    pub same_data_centre: bool,
 }
 
 impl LinkBudget {
     /// Charges a transfer to the share of a link of `tokens_per_s`; returns false if
     /// the share is exhausted.
-    pub fn take(
+    pub fn try_take(
         &mut self,
         now: UnixMs,
         transfer: Transfer,
@@ -56,7 +56,7 @@
         let refill = now.ms_since(self.refilled_at) as f64 * per_ms;
         self.balance_tokens = (self.balance_tokens + refill).min(BURST_MS * per_ms);
         self.refilled_at = self.refilled_at.max(now);
-        let factor = if transfer.same_place { 1 } else { CROSS_DATA_CENTRE_FACTOR };
+        let factor = if transfer.same_data_centre { 1 } else { CROSS_DATA_CENTRE_FACTOR };
         let allowed = self.balance_tokens > 0.0 || transfer.tokens == 0;
         if allowed {
             self.balance_tokens -= (transfer.tokens * factor) as f64;
--- a/crates/bilberry-core/src/order_lease.rs
+++ b/crates/bilberry-core/src/order_lease.rs
@@ -182,7 +182,7 @@
     }
 
     /// Processes the response to [`LeaseTask::Check`].
-    pub fn glanced(&mut self, seen: &SeenClaim, now: UnixMs) {
+    pub fn handle_check(&mut self, seen: &SeenClaim, now: UnixMs) {
         self.record_tenure(seen);
         let State::Following { last_seen, check_at } = &mut self.state else { return };
         if seen.claim.is_none() || seen.claim == *last_seen {
@@ -194,7 +194,7 @@
     }
 
     /// Processes the response to [`LeaseTask::Read`], received at `now`.
-    pub fn read(&mut self, seen: SeenClaim, now: UnixMs) {
+    pub fn handle_read(&mut self, seen: SeenClaim, now: UnixMs) {
         self.record_tenure(&seen);
         if matches!(self.state, State::Unconfirmed) {
             self.state = State::Contending { seen, since: now };
@@ -202,12 +202,12 @@
     }
 
     /// Records that a [`LeaseTask::Check`] or [`LeaseTask::Read`] got no response.
-    pub fn unanswered(&mut self, now: UnixMs) {
+    pub fn handle_failed_call(&mut self, now: UnixMs) {
         self.retry_at = now.plus_ms(RETRY_MS);
     }
 
     /// Processes the outcome of a write that was requested at `asked_at`.
-    pub fn wrote(
+    pub fn handle_write(
         &mut self,
         write: ClaimWrite,
         asked_at: UnixMs,
--- a/crates/bilberry-core/src/outage.rs
+++ b/crates/bilberry-core/src/outage.rs
@@ -33,7 +33,7 @@
 
 impl Outage {
     /// Records whether any upstream of the service is running.
-    pub fn note(&mut self, now: UnixMs, any_running: bool) {
+    pub fn record(&mut self, now: UnixMs, any_running: bool) {
         self.since = match any_running {
             true => None,
             false => self.since.or(Some(now)),
@@ -46,7 +46,7 @@
     /// The duration of an outage is unknown. An outage is expected to last as long again
     /// as it has lasted so far, so callers retry early at first and as late as possible
     /// once the outage has lasted for seconds.
-    pub fn come_back_ms(&self, now: UnixMs, left_ms: u64) -> Option<(u64, u64)> {
+    pub fn retry_delay_ms(&self, now: UnixMs, left_ms: u64) -> Option<(u64, u64)> {
         let lasted_ms = now.ms_since(self.since?);
         let max_ms = (left_ms * MAX_DELAY_PERCENT / 100).max(MIN_DELAY_MS);
         let delay_ms = lasted_ms.clamp(MIN_DELAY_MS, max_ms);
--- a/crates/bilberry-core/src/placement.rs
+++ b/crates/bilberry-core/src/placement.rs
@@ -82,7 +82,7 @@
     /// The time counts from the first announcement that the upstream missed. Counted
     /// from the newest one, older weights would never be excluded while announcements
     /// arrive faster than the bound.
-    pub fn lacking(lacking_ms: Option<u64>, bound_ms: Option<u64>) -> Self {
+    pub fn classify(lacking_ms: Option<u64>, bound_ms: Option<u64>) -> Self {
         let excluded_from_ms =
             bound_ms.map(|bound_ms| bound_ms.saturating_sub(OLD_WEIGHTS_MARGIN_MS));
         match lacking_ms {
@@ -103,7 +103,7 @@
     /// start, a restart during an announcement would leave no server for seconds. They
     /// are therefore excluded after the settling time of the process, before which the
     /// bound does not apply.
-    pub fn assumed_lacking_ms(bound_ms: Option<u64>, settle_ms: u64) -> u64 {
+    pub fn assumed_outdated_ms(bound_ms: Option<u64>, settle_ms: u64) -> u64 {
         let bound_ms = bound_ms.unwrap_or_default();
         bound_ms.saturating_sub(OLD_WEIGHTS_MARGIN_MS).saturating_sub(settle_ms)
     }
@@ -117,7 +117,7 @@
     /// Whether it accepts work: it is up, not leaving and not loading weights.
     pub usable: bool,
     /// Whether it is in the entry's data centre.
-    pub same_place: bool,
+    pub same_data_centre: bool,
     /// The number of further requests that it can run.
     pub free_slots: u64,
     /// The number of further tokens that fit into its memory.
@@ -131,7 +131,7 @@
     /// Whether its weights may serve the request.
     pub weights: WeightsStatus,
     /// Shared tokens of the request that it is known to have cached.
-    pub held_tokens: u64,
+    pub cached_tokens: u64,
     /// The time until it starts a planned load of weights, in milliseconds.
     pub loads_in_ms: Option<u64>,
 }
@@ -163,42 +163,48 @@
 }
 
 /// Returns the index of the best offer; `None` if no offer has capacity.
-pub fn place(demand: &PlacementRequest, offers: &[PlacementCandidate]) -> Option<usize> {
-    let scored =
-        offers.iter().enumerate().filter(|(_, offer)| has_capacity(demand, offer));
-    let scored = scored
-        .map(|(at, offer)| (cost(demand, offer), rank(demand.affinity, offer.seed), at));
+pub fn choose_upstream(
+    request: &PlacementRequest,
+    candidates: &[PlacementCandidate],
+) -> Option<usize> {
+    let scored = candidates
+        .iter()
+        .enumerate()
+        .filter(|(_, candidate)| has_capacity(request, candidate));
+    let scored = scored.map(|(at, candidate)| {
+        (cost(request, candidate), rank(request.affinity, candidate.seed), at)
+    });
     scored.min_by_key(|&(cost, rank, _)| (cost, !rank)).map(|(_, _, at)| at)
 }
 
-fn has_capacity(demand: &PlacementRequest, offer: &PlacementCandidate) -> bool {
-    offer.weights != WeightsStatus::Excluded
-        && offer.usable
-        && offer.free_slots > 0
-        && offer.free_tokens >= demand.memory_tokens()
+fn has_capacity(request: &PlacementRequest, candidate: &PlacementCandidate) -> bool {
+    candidate.weights != WeightsStatus::Excluded
+        && candidate.usable
+        && candidate.free_slots > 0
+        && candidate.free_tokens >= request.memory_tokens()
 }
 
-fn cost(demand: &PlacementRequest, offer: &PlacementCandidate) -> u64 {
-    let missing = demand.shared_tokens.saturating_sub(offer.held_tokens);
-    let missing = match demand.can_fetch {
+fn cost(request: &PlacementRequest, candidate: &PlacementCandidate) -> u64 {
+    let missing = request.shared_tokens.saturating_sub(candidate.cached_tokens);
+    let missing = match request.can_fetch {
         true => missing / FETCH_COST_DIVISOR,
         false => missing,
     };
-    let cross_data_centre = match offer.same_place {
+    let cross_data_centre = match candidate.same_data_centre {
         true => 0,
-        false => (1 + demand.body_bytes / 1_024) * CROSS_DATA_CENTRE_COST_TOKENS_PER_KB,
+        false => (1 + request.body_bytes / 1_024) * CROSS_DATA_CENTRE_COST_TOKENS_PER_KB,
     };
-    let older_weights = match offer.weights {
+    let older_weights = match candidate.weights {
         WeightsStatus::Acceptable => 0,
         WeightsStatus::Penalized | WeightsStatus::Excluded => OLD_WEIGHTS_COST_TOKENS,
     };
     missing
         + cross_data_centre
         + older_weights
-        + offer.pending_tokens
-        + offer.running * RUNNING_COST_TOKENS
-        + offer.queued * QUEUED_COST_TOKENS
-        + load_overlap_cost(demand, offer)
+        + candidate.pending_tokens
+        + candidate.running * RUNNING_COST_TOKENS
+        + candidate.queued * QUEUED_COST_TOKENS
+        + load_overlap_cost(request, candidate)
 }
 
 /// Returns the cost to the request of a weights load planned at an engine.
@@ -206,10 +212,10 @@
 /// New weights are announced every few seconds and the engines load them in turn, so
 /// there is nearly always an engine that will not load before a long answer ends. This
 /// cost reduced generation past a load by a fifth, over seven days.
-fn load_overlap_cost(demand: &PlacementRequest, offer: &PlacementCandidate) -> u64 {
-    let Some(loads_in_ms) = offer.loads_in_ms else { return 0 };
-    let overlap_ms = demand.answer_ms.saturating_sub(loads_in_ms);
-    LOAD_OVERLAP_COST_TOKENS * overlap_ms / demand.answer_ms.max(1)
+fn load_overlap_cost(request: &PlacementRequest, candidate: &PlacementCandidate) -> u64 {
+    let Some(loads_in_ms) = candidate.loads_in_ms else { return 0 };
+    let overlap_ms = request.answer_ms.saturating_sub(loads_in_ms);
+    LOAD_OVERLAP_COST_TOKENS * overlap_ms / request.answer_ms.max(1)
 }
 
 /// Returns the key of a cached part of a prompt.
--- a/crates/bilberry-core/src/prefills.rs
+++ b/crates/bilberry-core/src/prefills.rs
@@ -27,7 +27,7 @@
 const EXPIRED_CLEANUP_THRESHOLD: usize = 10_000;
 
 /// Returns the longest time that a request waits for parts prefilled by others.
-pub fn most_wait_for_parts_ms(target_ms: u64) -> u64 {
+pub fn max_part_wait_ms(target_ms: u64) -> u64 {
     target_ms / TARGET_WAIT_DIVISOR
 }
 
@@ -43,19 +43,19 @@
     /// The upstream that prefills the part.
     pub upstream: Name,
     /// The expected completion time, after which requests no longer wait for it.
-    pub done_by: UnixMs,
+    pub expected_end: UnixMs,
 }
 
 impl PrefillsInProgress {
     /// Records that an upstream starts to prefill a part, unless an unexpired prefill of
     /// the part is already known.
-    pub fn begin(&mut self, part: u64, reading: PrefillInProgress, now: UnixMs) {
+    pub fn begin(&mut self, part: u64, prefill: PrefillInProgress, now: UnixMs) {
         if self.by_part.len() > EXPIRED_CLEANUP_THRESHOLD {
-            self.by_part.retain(|_, reading| !reading.done_by.has_passed_at(now));
+            self.by_part.retain(|_, prefill| !prefill.expected_end.has_passed_at(now));
         }
-        let known = self.by_part.entry(part).or_insert_with(|| reading.clone());
-        if known.done_by.has_passed_at(now) {
-            *known = reading;
+        let known = self.by_part.entry(part).or_insert_with(|| prefill.clone());
+        if known.expected_end.has_passed_at(now) {
+            *known = prefill;
         }
     }
 
@@ -66,18 +66,18 @@
 
     /// Returns the current prefill of a part if it is worth waiting for, given that the
     /// request's own engine would need `prefill_ms`.
-    pub fn worth_awaiting(
+    pub fn prefill_to_await(
         &self,
         part: u64,
         prefill_ms: u64,
         now: UnixMs,
     ) -> Option<&PrefillInProgress> {
         let wait_until = now.plus_ms(prefill_ms * MAX_WAIT_PREFILLS);
-        self.of(part, now).filter(|reading| reading.done_by <= wait_until)
+        self.current(part, now).filter(|prefill| prefill.expected_end <= wait_until)
     }
 
     /// Returns the current prefill of a part, if there is one.
-    pub fn of(&self, part: u64, now: UnixMs) -> Option<&PrefillInProgress> {
-        self.by_part.get(&part).filter(|reading| !reading.done_by.has_passed_at(now))
+    pub fn current(&self, part: u64, now: UnixMs) -> Option<&PrefillInProgress> {
+        self.by_part.get(&part).filter(|prefill| !prefill.expected_end.has_passed_at(now))
     }
 }
--- a/crates/bilberry-core/src/request_key.rs
+++ b/crates/bilberry-core/src/request_key.rs
@@ -12,7 +12,7 @@
 
 impl RequestKey {
     /// Computes the key from the parts that identify a request, in a fixed order.
-    pub fn of(parts: &[&[u8]]) -> Self {
+    pub fn from_parts(parts: &[&[u8]]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in parts {
             // The length prefix distinguishes parts that are equal when concatenated.
--- a/crates/bilberry-core/src/retry.rs
+++ b/crates/bilberry-core/src/retry.rs
@@ -28,7 +28,7 @@
     }
 
     /// Adds the credit of one first attempt.
-    pub fn earn(&mut self) {
+    pub fn add_credit(&mut self) {
         self.balance_milli =
             (self.balance_milli + CREDIT_PER_REQUEST_MILLI).min(MAX_BALANCE_MILLI);
     }
--- a/crates/bilberry-core/src/rollout.rs
+++ b/crates/bilberry-core/src/rollout.rs
@@ -56,7 +56,7 @@
     }
 
     /// Records the duration of a load.
-    pub fn measure(&mut self, load_ms: u64) {
+    pub fn record_load(&mut self, load_ms: u64) {
         self.load_ms = load_ms.min(MAX_LOAD_MS);
     }
 
@@ -97,6 +97,6 @@
 ///
 /// From its turn on the server gets no new requests and works through its queue, so it
 /// is not idle meanwhile.
-pub fn may_begin_load(turn_at: UnixMs, queued: u64, now: UnixMs) -> bool {
+pub fn may_start_load(turn_at: UnixMs, queued: u64, now: UnixMs) -> bool {
     queued == 0 || turn_at.plus_ms(MAX_DRAIN_MS).has_passed_at(now)
 }
--- a/crates/bilberry-core/src/routing.rs
+++ b/crates/bilberry-core/src/routing.rs
@@ -66,7 +66,7 @@
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
 pub struct ProbeTarget {
     /// The index of the upstream.
-    pub at: usize,
+    pub index: usize,
     /// Whether it was chosen by rank, so that every entry probes it for this prompt.
     pub is_ranked: bool,
 }
@@ -75,7 +75,7 @@
 ///
 /// All callers with the same seeds agree. Removing a seed only moves the hashes for
 /// which it ranked highest.
-pub fn home(hash: u64, seeds: &[u64]) -> Option<usize> {
+pub fn highest_ranked(hash: u64, seeds: &[u64]) -> Option<usize> {
     (0..seeds.len()).max_by_key(|&at| rank(hash, seeds[at]))
 }
 
@@ -113,10 +113,10 @@
     limit: usize,
     random: u64,
 ) -> Vec<ProbeTarget> {
-    let mut seats: Vec<ProbeTarget> = Vec::with_capacity(limit);
+    let mut targets: Vec<ProbeTarget> = Vec::with_capacity(limit);
     let mut add = |at: usize, is_ranked: bool, max_len: usize| {
-        if seats.len() < max_len && seats.iter().all(|seat| seat.at != at) {
-            seats.push(ProbeTarget { at, is_ranked });
+        if targets.len() < max_len && targets.iter().all(|seat| seat.index != at) {
+            targets.push(ProbeTarget { index: at, is_ranked });
         }
     };
     // One probe is reserved for the least loaded upstream, so that an idle upstream is
@@ -141,7 +141,7 @@
     if let Some((at, _)) = idle {
         add(at, false, limit);
     }
-    seats
+    targets
 }
 
 /// Returns the powers of two up to `len`, deepest first.
@@ -199,9 +199,9 @@
 pub fn choose(
     views: &[ProbeView],
     prompt_blocks: u64,
-    weighing: ScoreWeights,
+    score_weights: ScoreWeights,
 ) -> Option<usize> {
-    let scores = views.iter().map(|view| weighing.score(view, prompt_blocks));
+    let scores = views.iter().map(|view| score_weights.score(view, prompt_blocks));
     scores.enumerate().min_by(|a, b| a.1.total_cmp(&b.1)).map(|(at, _)| at)
 }
 
@@ -210,7 +210,7 @@
 /// The wait is a fraction of the shortest recompute time among the upstreams that have
 /// responded, so it costs little even if no other upstream has more cached. If none has
 /// responded, the wait is `max_ms`.
-pub fn patience_ms(views: &[ProbeView], prompt_blocks: u64, max_ms: f64) -> f64 {
+pub fn late_probe_wait_ms(views: &[ProbeView], prompt_blocks: u64, max_ms: f64) -> f64 {
     let wait_ms_for =
         |view: &ProbeView| view.recompute_ms(prompt_blocks) / PROBE_WAIT_DIVISOR;
     views.iter().map(wait_ms_for).reduce(f64::min).unwrap_or(max_ms).min(max_ms)
--- a/crates/bilberry-core/src/run_end.rs
+++ b/crates/bilberry-core/src/run_end.rs
@@ -75,7 +75,7 @@
     /// While the stream's connection is open, its host acknowledges packets and is up,
     /// although it may refuse new connections or leave them in a full accept queue. A
     /// sidecar that reports its engine as up shows the same.
-    pub fn note(
+    pub fn record(
         &mut self,
         reach: ConnectOutcome,
         sidecar: SidecarStatus,
--- a/crates/bilberry-core/src/shared_watch.rs
+++ b/crates/bilberry-core/src/shared_watch.rs
@@ -17,9 +17,9 @@
     /// The position up to which all changes were reported.
     pub to: StorePosition,
     /// The changes, or `None` if there were none.
-    pub news: Option<T>,
+    pub changes: Option<T>,
     /// A time, by the caller's clock, at which the store had no further changes.
-    pub known_at: UnixMs,
+    pub confirmed_at: UnixMs,
 }
 
 /// A request to the hub for the changes after a position.
@@ -42,14 +42,14 @@
         news: T,
         /// The time at which the store had no further changes, relative to the request's
         /// arrival; negative if earlier.
-        known_ms: i64,
+        confirmed_ms: i64,
     },
     /// There were no changes.
     Unchanged {
         /// The position for the next request.
         position: StorePosition,
         /// The time at which the store had no changes, relative to the request's arrival.
-        known_ms: i64,
+        confirmed_ms: i64,
     },
     /// The requester must call the store itself once.
     OutOfSync,
@@ -59,7 +59,7 @@
     /// Returns whether the call began and ended in the same era.
     ///
     /// Otherwise the response only shows that another era has begun.
-    pub fn is_of_one_era(&self) -> bool {
+    pub fn is_single_era(&self) -> bool {
         self.from.era == self.to.era
     }
 }
@@ -76,7 +76,7 @@
 
     /// Returns whether the requester's position has no era although that of the watched
     /// store has one.
-    pub fn knows_no_era_of(&self, watched: StorePosition) -> bool {
+    pub fn lacks_era_of(&self, watched: StorePosition) -> bool {
         self.position.era.is_none() && watched.era.is_some()
     }
 
@@ -90,33 +90,36 @@
     /// Changes are not reported across eras, because the same revision number denotes
     /// different changes in different eras. A requester in a later era waits for a later
     /// call; one in an earlier era learns of the new era from the store.
-    pub fn hear<T: Clone>(&self, brought: &WatchResult<T>) -> Option<WatchReply<T>> {
-        let known_ms = signed_ms(brought.known_at, self.arrived_at);
+    pub fn reply_from<T: Clone>(
+        &self,
+        brought: &WatchResult<T>,
+    ) -> Option<WatchReply<T>> {
+        let confirmed_ms = signed_ms(brought.confirmed_at, self.arrived_at);
         let position = brought.to;
-        match &brought.news {
+        match &brought.changes {
             _ if self.position > position => None,
-            _ if !brought.is_of_one_era() => Some(WatchReply::OutOfSync),
+            _ if !brought.is_single_era() => Some(WatchReply::OutOfSync),
             _ if self.position.era != position.era => Some(WatchReply::OutOfSync),
             Some(_) if self.position == position => None,
             Some(news) if self.position <= brought.from => {
-                Some(WatchReply::Changes { position, news: news.clone(), known_ms })
+                Some(WatchReply::Changes { position, news: news.clone(), confirmed_ms })
             }
             Some(_) => Some(WatchReply::OutOfSync),
             // A time before the request's arrival would confirm less than a call by the
             // requester itself.
-            None if known_ms < 0 => None,
-            None => Some(WatchReply::Unchanged { position, known_ms }),
+            None if confirmed_ms < 0 => None,
+            None => Some(WatchReply::Unchanged { position, confirmed_ms }),
         }
     }
 }
 
 /// Returns the time for which a reply is valid, by the clock of the requester.
 ///
-/// A request arrives no earlier than it is sent at `asked_at`, so `known_ms` after
+/// A request arrives no earlier than it is sent at `asked_at`, so `confirmed_ms` after
 /// `asked_at` is never later than the actual time, regardless of network delays and clock
 /// offset. The only assumption is that both clocks run at the same rate.
-pub fn known_at(asked_at: UnixMs, known_ms: i64, now: UnixMs) -> UnixMs {
-    UnixMs(asked_at.0.saturating_add_signed(known_ms)).min(now)
+pub fn confirmed_at(asked_at: UnixMs, confirmed_ms: i64, now: UnixMs) -> UnixMs {
+    UnixMs(asked_at.0.saturating_add_signed(confirmed_ms)).min(now)
 }
 
 fn signed_ms(at: UnixMs, since: UnixMs) -> i64 {
--- a/crates/bilberry-core/src/source.rs
+++ b/crates/bilberry-core/src/source.rs
@@ -8,9 +8,9 @@
 #[derive(Debug, Copy, Clone, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PeerCopy {
     /// Shared tokens that the engine has cached, counted from the start of the prompt.
-    pub held_tokens: u64,
+    pub cached_tokens: u64,
     /// Whether it is in the same data centre as the fetching engine.
-    pub same_place: bool,
+    pub same_data_centre: bool,
 }
 
 /// The source of a fetch.
@@ -24,7 +24,7 @@
 
 /// Returns the source that supplies the most tokens beyond `own_tokens`.
 ///
-/// `kept_tokens` are the tokens that the store should have, `None` if no store responds.
+/// `stored_tokens` are the tokens that the store should have, `None` if no store responds.
 /// Another engine is preferred if it supplies as many tokens as the store, because each
 /// engine has its own link and the store has a single one. The store is returned even if
 /// nothing is known to be missing or stored: an engine with all tokens fetches nothing,
@@ -32,14 +32,14 @@
 pub fn choose_source(
     own_tokens: u64,
     peers: &[PeerCopy],
-    kept_tokens: Option<u64>,
+    stored_tokens: Option<u64>,
 ) -> Option<Source> {
     let best = peers.iter().enumerate().max_by_key(|(_, copy)| **copy);
-    let best = best.filter(|(_, copy)| copy.held_tokens > own_tokens);
-    match (best, kept_tokens) {
+    let best = best.filter(|(_, copy)| copy.cached_tokens > own_tokens);
+    match (best, stored_tokens) {
         // An engine with only the first level would leave the deeper levels to be
         // prefilled, which recomputed a seventh of all tokens over twelve days of load.
-        (Some((at, copy)), Some(kept)) if kept <= copy.held_tokens => {
+        (Some((at, copy)), Some(kept)) if kept <= copy.cached_tokens => {
             Some(Source::Peer(at))
         }
         (_, Some(_)) => Some(Source::Store),
@@ -54,6 +54,6 @@
 /// whole prompt, and tokens specific to one request evict shared ones. Saving only
 /// prompts with at most as many own tokens as missing shared ones, instead of all
 /// prompts, recomputed 12% fewer shared tokens, summed over nine days.
-pub fn is_worth_keeping(lacking_tokens: u64, own_tokens: u64) -> bool {
+pub fn should_save(lacking_tokens: u64, own_tokens: u64) -> bool {
     lacking_tokens > 0 && own_tokens <= lacking_tokens
 }
--- a/crates/bilberry-core/src/store_position.rs
+++ b/crates/bilberry-core/src/store_position.rs
@@ -44,9 +44,9 @@
     /// The era that has begun.
     pub era: Option<u64>,
     /// The discarded position; `None` if nothing had been read yet.
-    pub left: Option<StorePosition>,
+    pub previous: Option<StorePosition>,
     /// When the change was detected.
-    pub noticed_at: UnixMs,
+    pub detected_at: UnixMs,
 }
 
 impl StoreCursor {
@@ -58,7 +58,7 @@
     /// Updates the era from a response received at `now`.
     ///
     /// A response without an era is assumed to belong to the known era.
-    pub fn hear(&mut self, era: Option<u64>, now: UnixMs) -> EraOrder {
+    pub fn update_era(&mut self, era: Option<u64>, now: UnixMs) -> EraOrder {
         let known_era = self.known.and_then(|known| known.era);
         if era.is_none() || era == known_era {
             return EraOrder::Current;
@@ -68,7 +68,7 @@
         }
         let left = self.known.replace(StorePosition { era, revision: 0 });
         self.needs_list = true;
-        EraOrder::Entered(EraChange { era, left, noticed_at: now })
+        EraOrder::Entered(EraChange { era, previous: left, detected_at: now })
     }
 
     /// Records that all changes up to a revision of the current era are known.
@@ -79,7 +79,7 @@
     }
 
     /// Records that a full list is required.
-    pub fn lose(&mut self) {
+    pub fn require_list(&mut self) {
         self.needs_list = true;
     }
 }
--- a/crates/bilberry-core/src/time.rs
+++ b/crates/bilberry-core/src/time.rs
@@ -39,7 +39,7 @@
     }
 
     /// Returns the time from `now` until this deadline, or zero if it has passed.
-    pub fn left(self, now: Self) -> Duration {
+    pub fn remaining(self, now: Self) -> Duration {
         Duration::from_millis(self.ms_since(now))
     }
 
--- a/crates/bilberry-core/src/tombstones.rs
+++ b/crates/bilberry-core/src/tombstones.rs
@@ -28,7 +28,7 @@
     expiry_ms: u64,
     tombstones: BTreeMap<Name, Tombstone>,
     /// When the restored store has expired all entries of deregistered servers.
-    doubt_until: UnixMs,
+    suspect_until: UnixMs,
 }
 
 /// The tombstone of one server.
@@ -44,12 +44,12 @@
         Self {
             expiry_ms: heartbeat_ms * HEARTBEATS_TO_EXPIRE,
             tombstones: BTreeMap::new(),
-            doubt_until: UnixMs(0),
+            suspect_until: UnixMs(0),
         }
     }
 
     /// Records that a server deregistered, with its last known incarnation.
-    pub fn note_left(
+    pub fn mark_departed(
         &mut self,
         id: &Name,
         incarnation: Option<Incarnation>,
@@ -61,12 +61,12 @@
     }
 
     /// Records that the store was restored from an older backup.
-    pub fn note_restored(&mut self, now: UnixMs) {
-        self.doubt_until = now.plus_ms(self.expiry_ms);
+    pub fn record_restore(&mut self, now: UnixMs) {
+        self.suspect_until = now.plus_ms(self.expiry_ms);
     }
 
     /// Records that a server's entry was written, which means that the server is running.
-    pub fn note_written(&mut self, id: &str) {
+    pub fn record_registration(&mut self, id: &str) {
         self.tombstones.remove(id);
     }
 
@@ -75,7 +75,7 @@
     /// An entry with a later incarnation than the deregistered one was written by the
     /// server after a restart. An entry that is still listed after the expiry time is
     /// being renewed.
-    pub fn is_doubtful(
+    pub fn is_suspect(
         &self,
         id: &str,
         incarnation: Option<Incarnation>,
@@ -86,11 +86,11 @@
         let is_retained = now.ms_since(tombstone.at) < TOMBSTONE_RETENTION_MS;
         is_retained
             && order != IncarnationOrder::Newer
-            && !self.doubt_until.has_passed_at(now)
+            && !self.suspect_until.has_passed_at(now)
     }
 
     /// Returns when entries of deregistered servers are no longer doubtful.
-    pub fn doubt_until(&self) -> UnixMs {
-        self.doubt_until
+    pub fn suspect_until(&self) -> UnixMs {
+        self.suspect_until
     }
 }
--- a/crates/bilberry-core/src/watch_hub.rs
+++ b/crates/bilberry-core/src/watch_hub.rs
@@ -1,7 +1,7 @@
 //! Selection of the process that watches the store for the others.
 
 use crate::Name;
-use crate::home;
+use crate::highest_ranked;
 
 /// The minimum number of entries in a data centre for a shared watch.
 ///
@@ -39,7 +39,7 @@
     let is_local = |at: &usize| candidates[*at].place == *place;
     let local: Vec<usize> = (0..candidates.len()).filter(is_local).collect();
     let seeds: Vec<u64> = local.iter().map(|&at| candidates[at].seed).collect();
-    home(HUB_RANKING_KEY, &seeds).map(|at| local[at])
+    highest_ranked(HUB_RANKING_KEY, &seeds).map(|at| local[at])
 }
 
 /// The key for ranking hubs; it must be the same at all entries and is otherwise
--- a/crates/bilberry-core/tests/decisions.rs
+++ b/crates/bilberry-core/tests/decisions.rs
@@ -26,7 +26,7 @@
 use bilberry_core::UnixMs;
 use bilberry_core::candidates;
 use bilberry_core::choose;
-use bilberry_core::patience_ms;
+use bilberry_core::late_probe_wait_ms;
 use bilberry_core::rendezvous;
 use bilberry_core::retry_after_ms;
 use bilberry_core::sample_depths;
@@ -97,7 +97,7 @@
 #[test]
 fn an_event_gap_makes_the_index_unsure_and_a_restart_clears_it() {
     let mut index = CacheIndex::new();
-    index.replace(1, 10, [7, 8]);
+    index.load_snapshot(1, 10, [7, 8]);
     let event = |incarnation, sequence, block| CacheEvent {
         sequence,
         incarnation,
@@ -121,7 +121,7 @@
         state,
     };
     let judge =
-        |state, attempt, hash, now| claim(state).judge(attempt, hash, UnixMs(now));
+        |state, attempt, hash, now| claim(state).verdict_for(attempt, hash, UnixMs(now));
     let running = || ClaimState::Running;
     assert_eq!(judge(running(), "mine", "request", 50), RepeatVerdict::Own);
     assert_eq!(judge(running(), "other", "request", 50), RepeatVerdict::Running);
@@ -177,17 +177,20 @@
     let mut limits = CustomerLimits::default();
     let name = Name::from("anna");
     let now = UnixMs(1_000);
-    assert_eq!(limits.enter(&name, allowance, now), Ok(()));
-    assert_eq!(limits.enter(&name, allowance, now), Ok(()));
-    assert_eq!(limits.enter(&name, allowance, now), Err(LimitExceeded::Concurrency));
+    assert_eq!(limits.try_acquire(&name, allowance, now), Ok(()));
+    assert_eq!(limits.try_acquire(&name, allowance, now), Ok(()));
+    assert_eq!(
+        limits.try_acquire(&name, allowance, now),
+        Err(LimitExceeded::Concurrency)
+    );
     for _ in 0..8 {
-        limits.leave(&name);
-        limits.enter(&name, allowance, now).expect("the bucket holds ten tokens");
+        limits.release(&name);
+        limits.try_acquire(&name, allowance, now).expect("the bucket holds ten tokens");
     }
-    limits.leave(&name);
-    let refused = limits.enter(&name, allowance, now);
+    limits.release(&name);
+    let refused = limits.try_acquire(&name, allowance, now);
     assert_eq!(refused, Err(LimitExceeded::Rate { wait_ms: 100 }));
-    assert_eq!(limits.enter(&name, allowance, UnixMs(1_100)), Ok(()));
+    assert_eq!(limits.try_acquire(&name, allowance, UnixMs(1_100)), Ok(()));
 }
 
 #[test]
@@ -195,7 +198,7 @@
     let mut budget = RetryBudget::new();
     while budget.spend() {}
     let retries = (0..1_000).filter(|_| {
-        budget.earn();
+        budget.add_credit();
         budget.spend()
     });
     assert_eq!(retries.count(), 100);
@@ -212,15 +215,15 @@
 fn a_half_open_breaker_admits_one_trial_and_replaces_an_abandoned_one() {
     let mut breaker = Breaker::new();
     for _ in 0..3 {
-        assert!(breaker.admit(UnixMs(0)));
-        breaker.fail(UnixMs(100));
+        assert!(breaker.try_acquire(UnixMs(0)));
+        breaker.record_failure(UnixMs(100));
     }
-    assert!(!breaker.admit(UnixMs(50)));
-    assert!(breaker.admit(UnixMs(100)));
-    assert!(!breaker.admit(UnixMs(101)), "only one trial is admitted");
-    assert!(breaker.admit(UnixMs(10_000)), "an abandoned trial is replaced");
-    breaker.succeed();
-    assert!(breaker.admit(UnixMs(10_000)));
+    assert!(!breaker.try_acquire(UnixMs(50)));
+    assert!(breaker.try_acquire(UnixMs(100)));
+    assert!(!breaker.try_acquire(UnixMs(101)), "only one trial is admitted");
+    assert!(breaker.try_acquire(UnixMs(10_000)), "an abandoned trial is replaced");
+    breaker.record_success();
+    assert!(breaker.try_acquire(UnixMs(10_000)));
 }
 
 #[test]
@@ -238,11 +241,11 @@
         is_ranked: true,
     };
     // 60 blocks of 64 tokens at 40 us take 153.6 ms, a third of which is 51.2 ms.
-    assert_eq!(patience_ms(&[view(0), view(0)], 60, 50.0), 50.0);
-    let half = patience_ms(&[view(0), view(30)], 60, 50.0);
+    assert_eq!(late_probe_wait_ms(&[view(0), view(0)], 60, 50.0), 50.0);
+    let half = late_probe_wait_ms(&[view(0), view(30)], 60, 50.0);
     assert!((half - 25.6).abs() < 1e-6, "{half}");
-    assert_eq!(patience_ms(&[view(0), view(60)], 60, 50.0), 0.0);
-    assert_eq!(patience_ms(&[], 60, 50.0), 50.0);
+    assert_eq!(late_probe_wait_ms(&[view(0), view(60)], 60, 50.0), 0.0);
+    assert_eq!(late_probe_wait_ms(&[], 60, 50.0), 50.0);
 }
 
 #[test]
@@ -252,16 +255,16 @@
     // random one appeared slightly faster and got the prompt, the next entry would
     // probe a different random engine, miss the cached prefix and recompute it.
     let upstreams = upstreams(6);
-    let weighing = ScoreWeights { recompute_weight: 1.5 };
+    let score_weights = ScoreWeights { recompute_weight: 1.5 };
     for prompt in 0..100 {
         let chain = Chain::new(&format!("salt {prompt}"), &"x".repeat(15 * BLOCK_BYTES));
         let probed_by = |entry| candidates(&chain, &upstreams, 1, 5, entry);
         for fastest in 0..upstreams.len() {
             let view = |seat: &ProbeTarget| ProbeView {
-                upstream: upstreams[seat.at].upstream.clone(),
+                upstream: upstreams[seat.index].upstream.clone(),
                 held_blocks: 0,
                 wait_ms: 0.0,
-                prefill_us_per_token: if seat.at == fastest { 50.0 } else { 55.0 },
+                prefill_us_per_token: if seat.index == fastest { 50.0 } else { 55.0 },
                 distance_ms: 0.0,
                 is_ranked: seat.is_ranked,
             };
@@ -269,10 +272,10 @@
                 let probed = probed_by(entry);
                 let views: Vec<_> = probed.iter().map(view).collect();
                 let chosen =
-                    choose(&views, 15, weighing).expect("some upstreams are probed");
-                let holder = probed[chosen].at;
+                    choose(&views, 15, score_weights).expect("some upstreams are probed");
+                let holder = probed[chosen].index;
                 let is_probed =
-                    |seats: Vec<ProbeTarget>| seats.iter().any(|s| s.at == holder);
+                    |targets: Vec<ProbeTarget>| targets.iter().any(|s| s.index == holder);
                 let all_probe_it = (0..12).all(|other| is_probed(probed_by(other)));
                 assert!(all_probe_it, "prompt {prompt} of {entry} is missed at {holder}");
             }
@@ -293,9 +296,9 @@
         distance_ms: 0.0,
         is_ranked,
     };
-    let weighing = ScoreWeights { recompute_weight: 1.0 };
+    let score_weights = ScoreWeights { recompute_weight: 1.0 };
     // 15 blocks of 64 tokens at 50 us take 48 ms.
-    let chosen = |ranked, other| choose(&[ranked, other], 15, weighing);
+    let chosen = |ranked, other| choose(&[ranked, other], 15, score_weights);
     assert_eq!(chosen(view(50.0, 0, true), view(0.0, 0, false)), Some(1));
     assert_eq!(chosen(view(40.0, 0, true), view(0.0, 0, false)), Some(0));
     // An upstream with the whole prompt cached is not penalized for being unranked.
--- a/crates/bilberry-core/tests/forwarding.rs
+++ b/crates/bilberry-core/tests/forwarding.rs
@@ -21,23 +21,23 @@
 use bilberry_core::UnixMs;
 use bilberry_core::WeightsStatus;
 use bilberry_core::choose_source;
-use bilberry_core::may_begin_load;
+use bilberry_core::choose_upstream;
+use bilberry_core::may_start_load;
 use bilberry_core::part_key;
-use bilberry_core::place;
 use proptest::prelude::*;
 
-fn offer(seed: u64) -> PlacementCandidate {
+fn candidate(seed: u64) -> PlacementCandidate {
     PlacementCandidate {
         seed,
         usable: true,
-        same_place: true,
+        same_data_centre: true,
         free_slots: 40,
         free_tokens: 100_000,
         ..PlacementCandidate::default()
     }
 }
 
-fn demand() -> PlacementRequest {
+fn request() -> PlacementRequest {
     PlacementRequest {
         affinity: 77,
         shared_tokens: 6_300,
@@ -51,40 +51,42 @@
 
 #[test]
 fn a_prompt_goes_to_its_holder_until_the_backlog_is_too_long() {
-    let mut offers = vec![offer(1), offer(2), offer(3)];
-    offers[1].held_tokens = 6_300;
-    assert_eq!(place(&demand(), &offers), Some(1));
+    let mut candidates = vec![candidate(1), candidate(2), candidate(3)];
+    candidates[1].cached_tokens = 6_300;
+    assert_eq!(choose_upstream(&request(), &candidates), Some(1));
     // A long prompt is still being prefilled there, so another server fetches the parts.
-    offers[1].pending_tokens = 9_000;
-    assert_ne!(place(&demand(), &offers), Some(1));
+    candidates[1].pending_tokens = 9_000;
+    assert_ne!(choose_upstream(&request(), &candidates), Some(1));
 }
 
 #[test]
 fn entries_agree_on_the_server_for_an_uncached_prompt() {
-    let offers: Vec<PlacementCandidate> = (0..9).map(offer).collect();
-    let mut reversed: Vec<PlacementCandidate> = offers.clone();
+    let candidates: Vec<PlacementCandidate> = (0..9).map(candidate).collect();
+    let mut reversed: Vec<PlacementCandidate> = candidates.clone();
     reversed.reverse();
-    let seed = |offers: &[PlacementCandidate]| {
-        place(&demand(), offers).map(|at| offers[at].seed)
+    let seed = |candidates: &[PlacementCandidate]| {
+        choose_upstream(&request(), candidates).map(|at| candidates[at].seed)
     };
-    assert_eq!(seed(&offers), seed(&reversed));
+    assert_eq!(seed(&candidates), seed(&reversed));
     // Different prompts are spread over all servers.
     let chosen: std::collections::BTreeSet<_> = (0..200)
-        .filter_map(|affinity| place(&PlacementRequest { affinity, ..demand() }, &offers))
+        .filter_map(|affinity| {
+            choose_upstream(&PlacementRequest { affinity, ..request() }, &candidates)
+        })
         .collect();
     assert_eq!(chosen.len(), 9);
 }
 
 #[test]
 fn a_lost_server_moves_only_its_own_prompts() {
-    let offers: Vec<PlacementCandidate> = (0..9).map(offer).collect();
-    let mut fewer = offers.clone();
+    let candidates: Vec<PlacementCandidate> = (0..9).map(candidate).collect();
+    let mut fewer = candidates.clone();
     fewer[4].usable = false;
     for affinity in 0..200 {
-        let demand = PlacementRequest { affinity, ..demand() };
-        match place(&demand, &offers) {
-            Some(4) => assert_ne!(place(&demand, &fewer), Some(4)),
-            server => assert_eq!(place(&demand, &fewer), server),
+        let request = PlacementRequest { affinity, ..request() };
+        match choose_upstream(&request, &candidates) {
+            Some(4) => assert_ne!(choose_upstream(&request, &fewer), Some(4)),
+            server => assert_eq!(choose_upstream(&request, &fewer), server),
         }
     }
 }
@@ -95,15 +97,15 @@
     // only few servers have them. An answer from older weights loses part of its value, a
     // late one nearly all, so servers with the newest weights win only while they are not
     // much busier.
-    let mut offers = vec![offer(1), offer(2), offer(3)];
-    offers[0].weights = WeightsStatus::Penalized;
-    offers[1].weights = WeightsStatus::Penalized;
-    assert_eq!(place(&demand(), &offers), Some(2));
-    offers[2].running = 10;
-    offers[2].pending_tokens = 4_000;
-    assert_eq!(place(&demand(), &offers), Some(2));
-    offers[2].pending_tokens = 20_000;
-    assert!(place(&demand(), &offers).is_some_and(|at| at < 2));
+    let mut candidates = vec![candidate(1), candidate(2), candidate(3)];
+    candidates[0].weights = WeightsStatus::Penalized;
+    candidates[1].weights = WeightsStatus::Penalized;
+    assert_eq!(choose_upstream(&request(), &candidates), Some(2));
+    candidates[2].running = 10;
+    candidates[2].pending_tokens = 4_000;
+    assert_eq!(choose_upstream(&request(), &candidates), Some(2));
+    candidates[2].pending_tokens = 20_000;
+    assert!(choose_upstream(&request(), &candidates).is_some_and(|at| at < 2));
 }
 
 #[test]
@@ -112,47 +114,47 @@
     // Tokens generated past the load are worthless to the caller. Short answers end
     // before the load and stay on the engine that has their prompt cached. While other
     // engines have capacity, long answers go to those that load later or have loaded.
-    let mut offers = vec![offer(1), offer(2), offer(3)];
-    offers[0].held_tokens = 6_300;
-    offers[0].loads_in_ms = Some(200);
-    offers[1].loads_in_ms = Some(700);
-    let short = PlacementRequest { answer_ms: 120, ..demand() };
-    assert_eq!(place(&short, &offers), Some(0));
-    let long = PlacementRequest { answer_ms: 1_000, ..demand() };
-    assert_eq!(place(&long, &offers), Some(2));
-    offers[2].pending_tokens = 20_000;
-    assert_eq!(place(&long, &offers), Some(1));
+    let mut candidates = vec![candidate(1), candidate(2), candidate(3)];
+    candidates[0].cached_tokens = 6_300;
+    candidates[0].loads_in_ms = Some(200);
+    candidates[1].loads_in_ms = Some(700);
+    let short = PlacementRequest { answer_ms: 120, ..request() };
+    assert_eq!(choose_upstream(&short, &candidates), Some(0));
+    let long = PlacementRequest { answer_ms: 1_000, ..request() };
+    assert_eq!(choose_upstream(&long, &candidates), Some(2));
+    candidates[2].pending_tokens = 20_000;
+    assert_eq!(choose_upstream(&long, &candidates), Some(1));
     // If all others have long backlogs, a partly late answer beats an entirely late one.
-    offers[1].pending_tokens = 30_000;
-    assert_eq!(place(&long, &offers), Some(0));
+    candidates[1].pending_tokens = 30_000;
+    assert_eq!(choose_upstream(&long, &candidates), Some(0));
 }
 
 #[test]
 fn no_request_starts_on_older_weights_past_their_bound() {
     // A server that fails to load new weights gets no more work, even if no other server
     // has capacity, because its answers have no value.
-    let mut offers = vec![offer(1), offer(2)];
-    offers[0].weights = WeightsStatus::Excluded;
-    offers[1].free_slots = 0;
-    assert_eq!(place(&demand(), &offers), None);
+    let mut candidates = vec![candidate(1), candidate(2)];
+    candidates[0].weights = WeightsStatus::Excluded;
+    candidates[1].free_slots = 0;
+    assert_eq!(choose_upstream(&request(), &candidates), None);
     let ages = [0, 1_200, 1_400, 5_900, 6_100];
-    let at_ages = ages.map(|age_ms| WeightsStatus::lacking(Some(age_ms), Some(8_000)));
+    let at_ages = ages.map(|age_ms| WeightsStatus::classify(Some(age_ms), Some(8_000)));
     use WeightsStatus::*;
     assert_eq!(at_ages, [Acceptable, Acceptable, Penalized, Penalized, Excluded]);
-    assert_eq!(WeightsStatus::lacking(Some(60_000), None), Penalized);
-    assert_eq!(WeightsStatus::lacking(None, Some(0)), Acceptable);
+    assert_eq!(WeightsStatus::classify(Some(60_000), None), Penalized);
+    assert_eq!(WeightsStatus::classify(None, Some(0)), Acceptable);
 }
 
 #[test]
 fn no_request_is_placed_where_memory_would_run_out() {
     // Memory runs out before slots: a dozen long prompts fill a server. Another request
     // would be preempted during its answer.
-    let mut offers = vec![offer(1), offer(2)];
-    offers[0].free_tokens = 9_000;
-    offers[1].free_tokens = 9_300;
-    assert_eq!(place(&demand(), &offers), Some(1));
-    offers[1].free_tokens = 9_000;
-    assert_eq!(place(&demand(), &offers), None);
+    let mut candidates = vec![candidate(1), candidate(2)];
+    candidates[0].free_tokens = 9_000;
+    candidates[1].free_tokens = 9_300;
+    assert_eq!(choose_upstream(&request(), &candidates), Some(1));
+    candidates[1].free_tokens = 9_000;
+    assert_eq!(choose_upstream(&request(), &candidates), None);
 }
 
 #[test]
@@ -161,7 +163,8 @@
     // one, the brief. Under load the engine with the brief is full, and the chosen engine
     // has neither. If it fetched from a peer with only the style notes, the brief would
     // be prefilled again although the store has it.
-    let peer = |held_tokens, same_place| PeerCopy { held_tokens, same_place };
+    let peer =
+        |cached_tokens, same_data_centre| PeerCopy { cached_tokens, same_data_centre };
     let notes = [peer(2_520, true), peer(2_520, false)];
     assert_eq!(choose_source(0, &notes, Some(6_300)), Some(Source::Store));
     assert_eq!(choose_source(0, &notes, Some(2_520)), Some(Source::Peer(0)));
@@ -179,13 +182,13 @@
     // 5,000 tokens per second between data centres. That costs 2.4 million tokens per
     // second on a link that carries 234,000. Prompts beyond the share are prefilled
     // instead of waiting.
-    let prompt = Transfer { tokens: 5_000, same_place: false };
+    let prompt = Transfer { tokens: 5_000, same_data_centre: false };
     let mut moved_tokens = 0;
     for _ in 0..4 {
         let mut share = LinkBudget::default();
         for tick in 0..600 {
             let now = UnixMs(1_000_000 + tick * 1_000 / 60);
-            if share.take(now, prompt, 234_000.0, Some(4)) {
+            if share.try_take(now, prompt, 234_000.0, Some(4)) {
                 moved_tokens += prompt.tokens * 2;
             }
         }
@@ -194,10 +197,10 @@
     assert!((0.9..1.15).contains(&(moved_tokens as f64 / ten_s)), "{moved_tokens}");
     // Empty transfers are never refused, nor is the first transfer after an idle period.
     let mut share = LinkBudget::default();
-    let nothing = Transfer { tokens: 0, same_place: true };
-    assert!(share.take(UnixMs(5_000), prompt, 1_000.0, None));
-    assert!(!share.take(UnixMs(5_001), prompt, 1_000.0, None));
-    assert!(share.take(UnixMs(5_001), nothing, 1_000.0, None));
+    let nothing = Transfer { tokens: 0, same_data_centre: true };
+    assert!(share.try_take(UnixMs(5_000), prompt, 1_000.0, None));
+    assert!(!share.try_take(UnixMs(5_001), prompt, 1_000.0, None));
+    assert!(share.try_take(UnixMs(5_001), nothing, 1_000.0, None));
 }
 
 #[test]
@@ -209,21 +212,21 @@
     // refused in the last seconds are still served.
     let mut outage = Outage::default();
     let at = |ms: u64| UnixMs(1_000_000 + ms);
-    assert_eq!(outage.come_back_ms(at(0), 15_000), None);
-    outage.note(at(0), false);
-    assert_eq!(outage.come_back_ms(at(0), 15_000), Some((80, 100)));
-    outage.note(at(500), false);
-    assert_eq!(outage.come_back_ms(at(500), 15_000), Some((400, 500)));
-    outage.note(at(9_000), false);
-    assert_eq!(outage.come_back_ms(at(9_000), 15_000), Some((3_840, 4_800)));
+    assert_eq!(outage.retry_delay_ms(at(0), 15_000), None);
+    outage.record(at(0), false);
+    assert_eq!(outage.retry_delay_ms(at(0), 15_000), Some((80, 100)));
+    outage.record(at(500), false);
+    assert_eq!(outage.retry_delay_ms(at(500), 15_000), Some((400, 500)));
+    outage.record(at(9_000), false);
+    assert_eq!(outage.retry_delay_ms(at(9_000), 15_000), Some((3_840, 4_800)));
     // A caller with little or no time left is not told to retry after its deadline.
-    assert_eq!(outage.come_back_ms(at(9_000), 5_000), Some((1_280, 1_600)));
-    assert_eq!(outage.come_back_ms(at(9_000), 0), Some((80, 100)));
+    assert_eq!(outage.retry_delay_ms(at(9_000), 5_000), Some((1_280, 1_600)));
+    assert_eq!(outage.retry_delay_ms(at(9_000), 0), Some((80, 100)));
     // The first live upstream ends the outage; a later outage starts from zero.
-    outage.note(at(16_000), true);
-    assert_eq!(outage.come_back_ms(at(16_000), 15_000), None);
-    outage.note(at(20_000), false);
-    assert_eq!(outage.come_back_ms(at(20_300), 15_000), Some((240, 300)));
+    outage.record(at(16_000), true);
+    assert_eq!(outage.retry_delay_ms(at(16_000), 15_000), None);
+    outage.record(at(20_000), false);
+    assert_eq!(outage.retry_delay_ms(at(20_300), 15_000), Some((240, 300)));
 }
 
 #[test]
@@ -337,10 +340,10 @@
     // budget. Entries that really leave stop counting after some seconds.
     let mut entries = EntryCount::default();
     let report = |entries: &mut EntryCount, at_ms: u64, count| {
-        entries.hear(UnixMs(1_000_000 + at_ms), count);
-        entries.get()
+        entries.record_report(UnixMs(1_000_000 + at_ms), count);
+        entries.current()
     };
-    assert_eq!(entries.get(), None);
+    assert_eq!(entries.current(), None);
     assert_eq!(report(&mut entries, 100, 1), Some(1));
     assert_eq!(report(&mut entries, 300, 4), Some(4));
     // All sidecars start together twice, sixteen seconds apart.
@@ -413,21 +416,21 @@
 #[test]
 fn a_server_is_outdated_since_the_first_announcement_it_missed() {
     let mut named = AnnouncedWeights::default();
-    assert_eq!((named.newest(), named.lacking_since(0)), (None, None));
+    assert_eq!((named.newest(), named.outdated_since(0)), (None, None));
     for (version, at) in [(7, 100), (8, 4_500), (10, 13_300)] {
-        assert!(named.note(version, UnixMs(at)));
+        assert!(named.record(version, UnixMs(at)));
     }
     assert_eq!(named.newest(), Some((10, UnixMs(13_300))));
-    let since = [6, 7, 8, 9, 10].map(|version| named.lacking_since(version));
+    let since = [6, 7, 8, 9, 10].map(|version| named.outdated_since(version));
     let at = |ms| Some(UnixMs(ms));
     assert_eq!(since, [at(100), at(4_500), at(13_300), at(13_300), None]);
     // Repeated or late reports: a version was announced before any newer one.
-    assert!(!named.note(8, UnixMs(20_000)));
-    assert!(named.note(9, UnixMs(20_000)));
-    assert_eq!(named.lacking_since(8), at(13_300));
+    assert!(!named.record(8, UnixMs(20_000)));
+    assert!(named.record(9, UnixMs(20_000)));
+    assert_eq!(named.outdated_since(8), at(13_300));
     // A repeated report with an earlier time does not replace the first one.
-    assert!(!named.note(10, UnixMs(4_000)));
-    assert_eq!(named.lacking_since(9), at(13_300));
+    assert!(!named.record(10, UnixMs(4_000)));
+    assert_eq!(named.outdated_since(9), at(13_300));
 }
 
 #[test]
@@ -437,10 +440,10 @@
     // remembered ones is not recorded again as new.
     let mut named = AnnouncedWeights::default();
     for version in 10..90 {
-        assert!(named.note(version, UnixMs(version * 200)));
+        assert!(named.record(version, UnixMs(version * 200)));
     }
-    assert_eq!(named.lacking_since(9), Some(UnixMs(2_000)));
-    assert!(!named.note(11, UnixMs(50_000)));
+    assert_eq!(named.outdated_since(9), Some(UnixMs(2_000)));
+    assert!(!named.record(11, UnixMs(50_000)));
     assert_eq!(named.newest(), Some((89, UnixMs(17_800))));
 }
 
@@ -451,12 +454,12 @@
     // announcements follow; a server with the second newest weights is not excluded.
     let mut named = AnnouncedWeights::default();
     for version in 8..=10 {
-        named.note(version, UnixMs(58_523 + (version - 8) * 4_400));
+        named.record(version, UnixMs(58_523 + (version - 8) * 4_400));
     }
     let now = UnixMs(67_842);
     let judged = [7, 8, 9, 10].map(|version| {
-        let lacking_ms = named.lacking_since(version).map(|since| now.ms_since(since));
-        WeightsStatus::lacking(lacking_ms, Some(8_000))
+        let lacking_ms = named.outdated_since(version).map(|since| now.ms_since(since));
+        WeightsStatus::classify(lacking_ms, Some(8_000))
     });
     use WeightsStatus::*;
     assert_eq!(judged, [Excluded, Penalized, Acceptable, Acceptable]);
@@ -469,9 +472,9 @@
     ) {
         let mut named = AnnouncedWeights::default();
         for &(version, at) in &heard {
-            named.note(version, UnixMs(at));
+            named.record(version, UnixMs(at));
         }
-        let since: Vec<_> = (0..40).map(|version| named.lacking_since(version)).collect();
+        let since: Vec<_> = (0..40).map(|version| named.outdated_since(version)).collect();
         let known: Vec<_> = since.iter().copied().flatten().collect();
         prop_assert!(known.is_sorted());
         prop_assert!(since.iter().skip_while(|since| since.is_some()).all(Option::is_none));
@@ -497,7 +500,7 @@
 #[test]
 fn a_slow_load_does_not_delay_all_later_waves() {
     let mut rollout = Rollout::new(None);
-    rollout.measure(60_000);
+    rollout.record_load(60_000);
     let place = RolloutPlace { position: 2, servers: 9, down: 0 };
     assert_eq!(rollout.starts_at(UnixMs(0), place), UnixMs(930));
 }
@@ -508,10 +511,10 @@
     // limited, because a server with a queue that never empties would keep older weights
     // past their bound.
     let turn_at = UnixMs(5_000);
-    assert!(may_begin_load(turn_at, 0, turn_at));
-    assert!(!may_begin_load(turn_at, 1, turn_at));
-    assert!(!may_begin_load(turn_at, 40, turn_at.plus_ms(500)));
-    assert!(may_begin_load(turn_at, 1, turn_at.plus_ms(2_000)));
+    assert!(may_start_load(turn_at, 0, turn_at));
+    assert!(!may_start_load(turn_at, 1, turn_at));
+    assert!(!may_start_load(turn_at, 40, turn_at.plus_ms(500)));
+    assert!(may_start_load(turn_at, 1, turn_at.plus_ms(2_000)));
 }
 
 #[test]
--- a/crates/bilberry-core/tests/order_lease.rs
+++ b/crates/bilberry-core/tests/order_lease.rs
@@ -13,7 +13,7 @@
 use bilberry_core::Tenure;
 use bilberry_core::UnixMs;
 use bilberry_core::WriteOutcome;
-use bilberry_core::sidecar_fence;
+use bilberry_core::sidecar_fencing_token;
 use proptest::prelude::*;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -309,10 +309,10 @@
         client.has_pending_call = false;
         match (client.lease.task(now), reply) {
             (_, Reply::Wrote(write, outcome)) => {
-                client.lease.wrote(write, client.asked_at, outcome, now);
+                client.lease.handle_write(write, client.asked_at, outcome, now);
             }
-            (LeaseTask::Read, Reply::Seen(seen)) => client.lease.read(seen, now),
-            (_, Reply::Seen(seen)) => client.lease.glanced(&seen, now),
+            (LeaseTask::Read, Reply::Seen(seen)) => client.lease.handle_read(seen, now),
+            (_, Reply::Seen(seen)) => client.lease.handle_check(&seen, now),
         }
         self.push(self.now_ms, Event::Wake { process });
     }
@@ -324,9 +324,9 @@
         match call {
             Call::Write(write) => {
                 let outcome = WriteOutcome::Unknown;
-                client.lease.wrote(write, client.asked_at, outcome, now);
+                client.lease.handle_write(write, client.asked_at, outcome, now);
             }
-            _ => client.lease.unanswered(now),
+            _ => client.lease.handle_failed_call(now),
         }
         self.push(self.now_ms, Event::Wake { process });
     }
@@ -345,7 +345,7 @@
         let Some(tenure) = self.processes[process].lease.tenure(now) else { return };
         let delay_ms = self.random.random_range(0..=TERMS.order_ms);
         let arrives_ms = self.now_ms + delay_ms;
-        self.orders.push(Order { arrives_ms, process, fence: tenure.fence(1) });
+        self.orders.push(Order { arrives_ms, process, fence: tenure.fencing_token(1) });
     }
 
     /// Checks the intervals and the fencing tokens of orders from different processes.
@@ -359,7 +359,7 @@
             let apart_ms = order.arrives_ms - before.arrives_ms;
             prop_assert!(apart_ms >= TERMS.lease_ms, "{before:?}, then {order:?}");
             prop_assert!(order.fence > before.fence, "{before:?}, then {order:?}");
-            prop_assert!(order.fence < sidecar_fence(1));
+            prop_assert!(order.fence < sidecar_fencing_token(1));
         }
         Ok(())
     }
@@ -456,11 +456,11 @@
     let now = UnixMs(50_000);
     let mut lease = OrderLease::new("entry-a".into(), TERMS, now);
     let none = SeenClaim { era: 3, revision: 0, claim: None };
-    lease.glanced(&none, now);
+    lease.handle_check(&none, now);
     let claim =
         |holder: &str, term| OrderClaim { holder: holder.into(), term, renewal: 0 };
     let theirs = SeenClaim { era: 3, revision: 8, claim: Some(claim("entry-b", 4)) };
-    lease.read(theirs, now);
+    lease.handle_read(theirs, now);
     let takeover_at = now.plus_ms(TERMS.takeover_ms());
     let LeaseTask::Write(write) = lease.task(takeover_at) else {
         panic!("expected a takeover")
@@ -469,11 +469,11 @@
         ClaimWrite { era: 3, claim: claim("entry-a", 5), expected_revision: 8 };
     assert_eq!(write, expected);
     let ours = SeenClaim { era: 4, revision: 9, claim: Some(write.claim.clone()) };
-    lease.wrote(write, takeover_at, WriteOutcome::Written(ours), takeover_at);
+    lease.handle_write(write, takeover_at, WriteOutcome::Written(ours), takeover_at);
     assert_eq!(lease.tenure(takeover_at), None);
     // The entry reads the claim of the new era and waits like any other process.
     assert_eq!(lease.task(takeover_at), LeaseTask::Read);
-    lease.read(SeenClaim { era: 4, revision: 0, claim: None }, takeover_at);
+    lease.handle_read(SeenClaim { era: 4, revision: 0, claim: None }, takeover_at);
     let wait = LeaseTask::Wait(takeover_at.plus_ms(TERMS.takeover_ms()));
     assert_eq!(lease.task(takeover_at), wait);
 }
@@ -481,15 +481,15 @@
 #[test]
 fn tokens_are_ordered_by_version_era_and_term_with_the_sidecar_last() {
     let tokens = [
-        sidecar_fence(6),
-        Tenure { era: 0, term: 1 }.fence(7),
-        Tenure { era: 0, term: 2 }.fence(7),
-        Tenure { era: 1, term: 1 }.fence(7),
-        Tenure { era: u64::MAX, term: u64::MAX }.fence(7),
-        sidecar_fence(7),
-        Tenure { era: 0, term: 1 }.fence(8),
+        sidecar_fencing_token(6),
+        Tenure { era: 0, term: 1 }.fencing_token(7),
+        Tenure { era: 0, term: 2 }.fencing_token(7),
+        Tenure { era: 1, term: 1 }.fencing_token(7),
+        Tenure { era: u64::MAX, term: u64::MAX }.fencing_token(7),
+        sidecar_fencing_token(7),
+        Tenure { era: 0, term: 1 }.fencing_token(8),
     ];
     assert!(tokens.is_sorted_by(|a, b| a < b), "{tokens:?}");
     // Tokens are exact in any JSON implementation for versions below a hundred million.
-    assert!(sidecar_fence(100_000_000) < 1 << 53);
+    assert!(sidecar_fencing_token(100_000_000) < 1 << 53);
 }
--- a/crates/bilberry-core/tests/shared_watch.rs
+++ b/crates/bilberry-core/tests/shared_watch.rs
@@ -8,7 +8,7 @@
 use bilberry_core::WatchReply;
 use bilberry_core::WatchResult;
 use bilberry_core::choose_hub;
-use bilberry_core::known_at;
+use bilberry_core::confirmed_at;
 use proptest::prelude::*;
 
 /// Returns a position in a store that reports no era.
@@ -16,15 +16,20 @@
     StorePosition { era: None, revision }
 }
 
-fn quiet(from: u64, to: u64, known_ms: u64) -> WatchResult<Vec<u64>> {
+fn quiet(from: u64, to: u64, confirmed_ms: u64) -> WatchResult<Vec<u64>> {
     let (from, to) = (at(from), at(to));
-    WatchResult { from, to, news: None, known_at: UnixMs(known_ms) }
+    WatchResult { from, to, changes: None, confirmed_at: UnixMs(confirmed_ms) }
 }
 
-fn news(from: u64, changes: &[u64], known_ms: u64) -> WatchResult<Vec<u64>> {
+fn news(from: u64, changes: &[u64], confirmed_ms: u64) -> WatchResult<Vec<u64>> {
     let to = at(*changes.last().expect("there are changes"));
     let from = at(from);
-    WatchResult { from, to, news: Some(changes.to_vec()), known_at: UnixMs(known_ms) }
+    WatchResult {
+        from,
+        to,
+        changes: Some(changes.to_vec()),
+        confirmed_at: UnixMs(confirmed_ms),
+    }
 }
 
 fn question(revision: u64, arrived_ms: u64) -> PendingWatch {
@@ -38,12 +43,12 @@
     // would take the entry back to revision 11, so that callers see a removed route
     // again.
     let batch = news(10, &[11, 12, 13], 0);
-    assert_eq!(question(12, 0).hear(&batch), Some(WatchReply::OutOfSync));
+    assert_eq!(question(12, 0).reply_from(&batch), Some(WatchReply::OutOfSync));
     let all =
-        WatchReply::Changes { position: at(13), news: vec![11, 12, 13], known_ms: 0 };
-    assert_eq!(question(10, 0).hear(&batch), Some(all));
-    assert_eq!(question(13, 0).hear(&batch), None);
-    assert_eq!(question(20, 0).hear(&batch), None);
+        WatchReply::Changes { position: at(13), news: vec![11, 12, 13], confirmed_ms: 0 };
+    assert_eq!(question(10, 0).reply_from(&batch), Some(all));
+    assert_eq!(question(13, 0).reply_from(&batch), None);
+    assert_eq!(question(20, 0).reply_from(&batch), None);
 }
 
 #[test]
@@ -51,10 +56,10 @@
     // The hub's call ended without changes, but its response was processed late and the
     // request arrived in between. A reply from it would extend the validity of a key. The
     // request is answered from the next call.
-    assert_eq!(question(10, 500).hear(&quiet(10, 10, 499)), None);
-    let later = WatchReply::Unchanged { position: at(11), known_ms: 100 };
-    assert_eq!(question(10, 500).hear(&quiet(10, 11, 600)), Some(later));
-    assert_eq!(question(12, 500).hear(&quiet(10, 11, 600)), None);
+    assert_eq!(question(10, 500).reply_from(&quiet(10, 10, 499)), None);
+    let later = WatchReply::Unchanged { position: at(11), confirmed_ms: 100 };
+    assert_eq!(question(10, 500).reply_from(&quiet(10, 11, 600)), Some(later));
+    assert_eq!(question(12, 500).reply_from(&quiet(10, 11, 600)), None);
 }
 
 #[test]
@@ -62,9 +67,9 @@
     // The reply carries only the time relative to the request's arrival, so the offset of
     // the hub's clock does not matter. A reply for a later time than the requester's own
     // clock shows is valid for the current time.
-    assert_eq!(known_at(UnixMs(1_000), 400, UnixMs(2_000)), UnixMs(1_400));
-    assert_eq!(known_at(UnixMs(1_000), -300, UnixMs(2_000)), UnixMs(700));
-    assert_eq!(known_at(UnixMs(1_000), 9_000, UnixMs(2_000)), UnixMs(2_000));
+    assert_eq!(confirmed_at(UnixMs(1_000), 400, UnixMs(2_000)), UnixMs(1_400));
+    assert_eq!(confirmed_at(UnixMs(1_000), -300, UnixMs(2_000)), UnixMs(700));
+    assert_eq!(confirmed_at(UnixMs(1_000), 9_000, UnixMs(2_000)), UnixMs(2_000));
 }
 
 #[test]
@@ -172,36 +177,36 @@
                     let to = store.revision;
                     let answered_ms = now;
                     now += travel_ms + pause_ms;
-                    let known_ms = match changes.is_empty() {
+                    let confirmed_ms = match changes.is_empty() {
                         true => answered_ms.min(now),
                         false => hub_called_at,
                     };
                     let brought = WatchResult {
                         from: at(hub_at),
                         to: at(to),
-                        news: (!changes.is_empty()).then_some(changes),
-                        known_at: UnixMs(known_ms + HUB_CLOCK_OFFSET_MS),
+                        changes: (!changes.is_empty()).then_some(changes),
+                        confirmed_at: UnixMs(confirmed_ms + HUB_CLOCK_OFFSET_MS),
                     };
                     (hub_at, hub_called_at) = (to, now);
-                    if brought.news.is_some() {
+                    if brought.changes.is_some() {
                         quiet_from = to;
                     }
                     let Some((asked_ms, question)) = asked else { continue };
                     // Only changes not yet reported when the request arrived are
                     // considered.
-                    let Some(reply) = question.hear(&brought) else { continue };
+                    let Some(reply) = question.reply_from(&brought) else { continue };
                     asked = None;
                     now += travel_ms;
-                    let known = |known_ms| known_at(UnixMs(asked_ms), known_ms, UnixMs(now)).0;
+                    let known = |confirmed_ms| confirmed_at(UnixMs(asked_ms), confirmed_ms, UnixMs(now)).0;
                     match reply {
-                        WatchReply::Changes { position, news, known_ms } => {
+                        WatchReply::Changes { position, news, confirmed_ms } => {
                             seen.extend(news);
                             entry_at = position.revision;
-                            confirmed = confirmed.max(known(known_ms));
+                            confirmed = confirmed.max(known(confirmed_ms));
                         }
-                        WatchReply::Unchanged { position, known_ms } => {
+                        WatchReply::Unchanged { position, confirmed_ms } => {
                             entry_at = entry_at.max(position.revision);
-                            confirmed = confirmed.max(known(known_ms));
+                            confirmed = confirmed.max(known(confirmed_ms));
                         }
                         WatchReply::OutOfSync => {
                             seen.extend(store.since(entry_at));
--- a/crates/bilberry-core/tests/store_eras.rs
+++ b/crates/bilberry-core/tests/store_eras.rs
@@ -30,13 +30,13 @@
     to: StorePosition,
     news: Option<u64>,
 ) -> WatchResult<u64> {
-    WatchResult { from, to, news, known_at: UnixMs(100) }
+    WatchResult { from, to, changes: news, confirmed_at: UnixMs(100) }
 }
 
 /// Returns the cursor of a follower that has listed at a position.
 fn cursor(era: u64, revision: u64) -> StoreCursor {
     let mut cursor = StoreCursor::default();
-    cursor.hear(Some(era), UnixMs(0));
+    cursor.update_era(Some(era), UnixMs(0));
     cursor.advance(revision);
     cursor
 }
@@ -56,9 +56,12 @@
     // would miss changes and callers of a removed route would still be served.
     for revision in [3, 10, 900] {
         let mut cursor = cursor(1, 10);
-        let entered =
-            EraChange { era: Some(2), left: Some(at(1, 10)), noticed_at: UnixMs(70) };
-        assert_eq!(cursor.hear(Some(2), UnixMs(70)), EraOrder::Entered(entered));
+        let entered = EraChange {
+            era: Some(2),
+            previous: Some(at(1, 10)),
+            detected_at: UnixMs(70),
+        };
+        assert_eq!(cursor.update_era(Some(2), UnixMs(70)), EraOrder::Entered(entered));
         assert_eq!(cursor.position(), None);
         cursor.advance(revision);
         assert_eq!(cursor.position(), Some(at(2, revision)));
@@ -68,13 +71,13 @@
 #[test]
 fn a_response_from_a_past_era_is_ignored() {
     let mut cursor = cursor(2, 10);
-    assert_eq!(cursor.hear(Some(1), UnixMs(70)), EraOrder::Past);
+    assert_eq!(cursor.update_era(Some(1), UnixMs(70)), EraOrder::Past);
     assert_eq!(cursor.position(), Some(at(2, 10)));
     // A response without an era is accepted. A cursor that was reset requires a new list.
-    assert_eq!(cursor.hear(None, UnixMs(80)), EraOrder::Current);
-    cursor.lose();
+    assert_eq!(cursor.update_era(None, UnixMs(80)), EraOrder::Current);
+    cursor.require_list();
     assert_eq!(
-        (cursor.position(), cursor.hear(Some(2), UnixMs(90))),
+        (cursor.position(), cursor.update_era(Some(2), UnixMs(90))),
         (None, EraOrder::Current)
     );
 }
@@ -84,13 +87,13 @@
     // A starting process must not treat its first read as a restore. Otherwise it would
     // reject callers for two seconds after each start.
     let mut cursor = StoreCursor::default();
-    let EraOrder::Entered(entered) = cursor.hear(Some(7), UnixMs(5)) else {
+    let EraOrder::Entered(entered) = cursor.update_era(Some(7), UnixMs(5)) else {
         panic!("expected a new era");
     };
-    assert_eq!((entered.era, entered.left), (Some(7), None));
+    assert_eq!((entered.era, entered.previous), (Some(7), None));
     // A store that reports no era is followed by revision only.
     let mut cursor = StoreCursor::default();
-    assert_eq!(cursor.hear(None, UnixMs(5)), EraOrder::Current);
+    assert_eq!(cursor.update_era(None, UnixMs(5)), EraOrder::Current);
     cursor.advance(12);
     assert_eq!(cursor.position(), Some(StorePosition { era: None, revision: 12 }));
 }
@@ -104,21 +107,21 @@
     let across = brought(at(1, 10), at(2, 12), Some(1));
     // A requester in a later era waits for a call made in that era.
     for revision in [3, 10, 12, 900] {
-        assert_eq!(question(2, revision).hear(&quiet), None);
-        assert_eq!(question(2, revision).hear(&news), None);
+        assert_eq!(question(2, revision).reply_from(&quiet), None);
+        assert_eq!(question(2, revision).reply_from(&news), None);
     }
     // A requester in an earlier era learns of the new era from the store.
     let later = brought(at(2, 10), at(2, 10), None);
     for revision in [3, 10, 900] {
-        assert_eq!(question(1, revision).hear(&later), Some(WatchReply::OutOfSync));
+        assert_eq!(question(1, revision).reply_from(&later), Some(WatchReply::OutOfSync));
         assert!(question(1, revision).is_behind(at(2, 3)));
     }
     // A call that began in one era and ended in the next confirms nothing.
     for requester in [question(1, 10), question(2, 12), question(2, 10)] {
-        assert_eq!(requester.hear(&across), Some(WatchReply::OutOfSync));
+        assert_eq!(requester.reply_from(&across), Some(WatchReply::OutOfSync));
     }
-    let in_step = WatchReply::Unchanged { position: at(2, 10), known_ms: 100 };
-    assert_eq!(question(2, 10).hear(&later), Some(in_step));
+    let in_step = WatchReply::Unchanged { position: at(2, 10), confirmed_ms: 100 };
+    assert_eq!(question(2, 10).reply_from(&later), Some(in_step));
 }
 
 #[test]
@@ -128,8 +131,8 @@
     // the entry, so nothing appears to be missing.
     let mut freshness = Freshness::default();
     freshness.confirm_read(UnixMs(10_000));
-    freshness.doubt(UnixMs(11_000));
-    freshness.note_copy(false);
+    freshness.record_restore(UnixMs(11_000));
+    freshness.record_restored_state(false);
     freshness.confirm_read(UnixMs(11_000));
     freshness.confirm_quiet(UnixMs(11_000), 1_800, UnixMs(12_850));
     assert_eq!(freshness.confirmed_at(), UnixMs(10_000));
@@ -143,17 +146,17 @@
 fn a_store_restored_to_an_older_version_confirms_nothing_until_a_write() {
     let mut freshness = Freshness::default();
     freshness.confirm_read(UnixMs(10_000));
-    freshness.doubt(UnixMs(11_000));
-    freshness.note_copy(true);
+    freshness.record_restore(UnixMs(11_000));
+    freshness.record_restored_state(true);
     freshness.confirm_read(UnixMs(19_000));
     assert_eq!(freshness.confirmed_at(), UnixMs(10_000));
     // A write by the operators verifies the restore, however late it comes.
-    freshness.note_written_again();
+    freshness.record_rewrite();
     freshness.confirm_read(UnixMs(19_100));
     assert_eq!(freshness.confirmed_at(), UnixMs(19_100));
     // A second restore has to be verified again.
-    freshness.doubt(UnixMs(19_500));
-    freshness.note_copy(false);
+    freshness.record_restore(UnixMs(19_500));
+    freshness.record_restored_state(false);
     freshness.confirm_read(UnixMs(20_000));
     assert_eq!(freshness.confirmed_at(), UnixMs(19_100));
 }
@@ -165,19 +168,19 @@
     // backup.
     let mut freshness = Freshness::default();
     freshness.confirm_read(UnixMs(10_000));
-    freshness.doubt(UnixMs(11_000));
-    freshness.note_copy(false);
-    freshness.note_lost();
-    freshness.note_lost();
+    freshness.record_restore(UnixMs(11_000));
+    freshness.record_restored_state(false);
+    freshness.record_failed_call();
+    freshness.record_failed_call();
     freshness.confirm_read(UnixMs(14_000));
     freshness.confirm_read(UnixMs(15_899));
     assert_eq!(freshness.confirmed_at(), UnixMs(10_000));
     freshness.confirm_read(UnixMs(15_900));
     assert_eq!(freshness.confirmed_at(), UnixMs(15_900));
     // A single failed call does not extend the unverified period.
-    freshness.doubt(UnixMs(20_000));
-    freshness.note_copy(false);
-    freshness.note_lost();
+    freshness.record_restore(UnixMs(20_000));
+    freshness.record_restored_state(false);
+    freshness.record_failed_call();
     freshness.confirm_read(UnixMs(21_900));
     assert_eq!(freshness.confirmed_at(), UnixMs(21_900));
 }
@@ -187,41 +190,50 @@
     // The store was unavailable for less time than any entry takes to expire, so no
     // outage was detected. Without a grace period, all load would move to the servers in
     // the backup.
-    let mut lapses = ExpiredEntries::new(HEARTBEAT_MS);
-    lapses.note_answer(UnixMs(9_000));
-    lapses.note_restored(UnixMs(10_000));
+    let mut expired_entries = ExpiredEntries::new(HEARTBEAT_MS);
+    expired_entries.record_response(UnixMs(9_000));
+    expired_entries.record_restore(UnixMs(10_000));
     let until = UnixMs(11_900);
-    assert_eq!(lapses.remove(&"a".into(), UnixMs(10_000)), Removal::Deferred(until));
-    assert_eq!(lapses.remove(&"b".into(), UnixMs(10_000)), Removal::Deferred(until));
-    assert!(lapses.list("a"));
-    assert_eq!(lapses.take_overdue(UnixMs(11_900)), [("b".into(), until)]);
-    assert_eq!(lapses.remove(&"c".into(), UnixMs(11_900)), Removal::Immediate);
+    assert_eq!(
+        expired_entries.mark_missing(&"a".into(), UnixMs(10_000)),
+        Removal::Deferred(until)
+    );
+    assert_eq!(
+        expired_entries.mark_missing(&"b".into(), UnixMs(10_000)),
+        Removal::Deferred(until)
+    );
+    assert!(expired_entries.mark_listed("a"));
+    assert_eq!(expired_entries.take_expired(UnixMs(11_900)), [("b".into(), until)]);
+    assert_eq!(
+        expired_entries.mark_missing(&"c".into(), UnixMs(11_900)),
+        Removal::Immediate
+    );
     // A second restore restarts the grace period of the servers that are still missing.
-    lapses.note_restored(UnixMs(20_000));
-    lapses.remove(&"d".into(), UnixMs(20_000));
-    lapses.note_restored(UnixMs(21_500));
-    assert_eq!(lapses.next_due(), Some(UnixMs(23_400)));
+    expired_entries.record_restore(UnixMs(20_000));
+    expired_entries.mark_missing(&"d".into(), UnixMs(20_000));
+    expired_entries.record_restore(UnixMs(21_500));
+    assert_eq!(expired_entries.next_expiry(), Some(UnixMs(23_400)));
 }
 
 #[test]
 fn a_deregistered_server_is_not_used_again_after_a_restore() {
     // Otherwise requests would use up their limited retries on a server that is not
     // running, until the store expires its entry.
-    let born = |born_ms| Some(Incarnation { born_at: UnixMs(born_ms) });
-    let mut departures = Tombstones::new(HEARTBEAT_MS);
-    departures.note_left(&"left".into(), born(500), UnixMs(9_000));
+    let born = |born_ms| Some(Incarnation { started_at: UnixMs(born_ms) });
+    let mut tombstones = Tombstones::new(HEARTBEAT_MS);
+    tombstones.mark_departed(&"left".into(), born(500), UnixMs(9_000));
     // Without a restore, a listed server is running.
-    assert!(!departures.is_doubtful("left", born(500), UnixMs(9_500)));
-    departures.note_restored(UnixMs(10_000));
-    assert!(departures.is_doubtful("left", born(500), UnixMs(10_000)));
-    assert!(departures.is_doubtful("left", born(400), UnixMs(10_000)));
-    assert!(departures.is_doubtful("left", None, UnixMs(14_799)));
-    assert!(!departures.is_doubtful("other", born(500), UnixMs(10_000)));
+    assert!(!tombstones.is_suspect("left", born(500), UnixMs(9_500)));
+    tombstones.record_restore(UnixMs(10_000));
+    assert!(tombstones.is_suspect("left", born(500), UnixMs(10_000)));
+    assert!(tombstones.is_suspect("left", born(400), UnixMs(10_000)));
+    assert!(tombstones.is_suspect("left", None, UnixMs(14_799)));
+    assert!(!tombstones.is_suspect("other", born(500), UnixMs(10_000)));
     // The server has restarted, or its entry is being renewed.
-    assert!(!departures.is_doubtful("left", born(501), UnixMs(10_000)));
-    assert!(!departures.is_doubtful("left", born(500), UnixMs(14_800)));
-    departures.note_written("left");
-    assert!(!departures.is_doubtful("left", born(500), UnixMs(10_000)));
+    assert!(!tombstones.is_suspect("left", born(501), UnixMs(10_000)));
+    assert!(!tombstones.is_suspect("left", born(500), UnixMs(14_800)));
+    tombstones.record_registration("left");
+    assert!(!tombstones.is_suspect("left", born(500), UnixMs(10_000)));
 }
 
 #[test]
@@ -229,11 +241,11 @@
     // If the repeated write after a restore counted as a new version, an engine without
     // these weights would be used past the bound.
     let mut named = AnnouncedWeights::default();
-    named.note(4, UnixMs(8_000));
-    named.note(5, UnixMs(9_000));
+    named.record(4, UnixMs(8_000));
+    named.record(5, UnixMs(9_000));
     // The backup has the older version; then the newer one is written again.
-    assert!(!named.note(4, UnixMs(12_000)));
-    assert!(!named.note(5, UnixMs(13_000)));
+    assert!(!named.record(4, UnixMs(12_000)));
+    assert!(!named.record(5, UnixMs(13_000)));
     assert_eq!(named.newest(), Some((5, UnixMs(9_000))));
-    assert_eq!(named.lacking_since(4), Some(UnixMs(9_000)));
+    assert_eq!(named.outdated_since(4), Some(UnixMs(9_000)));
 }
--- a/crates/bilberry-core/tests/store_eras_model.rs
+++ b/crates/bilberry-core/tests/store_eras_model.rs
@@ -14,7 +14,7 @@
 use bilberry_core::UnixMs;
 use bilberry_core::WatchReply;
 use bilberry_core::WatchResult;
-use bilberry_core::known_at;
+use bilberry_core::confirmed_at;
 use proptest::prelude::*;
 
 /// The offset of the hub's clock from the entry's clock.
@@ -193,11 +193,11 @@
 impl Entry {
     /// Updates the era from a response and returns how it compares with the known one.
     fn update_era(&mut self, era: Option<u64>, now_ms: u64) -> EraOrder {
-        let told = self.cursor.hear(era, UnixMs(now_ms));
+        let told = self.cursor.update_era(era, UnixMs(now_ms));
         if let EraOrder::Entered(entered) = told
-            && entered.left.is_some()
+            && entered.previous.is_some()
         {
-            self.freshness.doubt(entered.noticed_at);
+            self.freshness.record_restore(entered.detected_at);
         }
         told
     }
@@ -214,12 +214,12 @@
             Response::List { position, version } => {
                 if self.update_era(position.era, now_ms) != EraOrder::Past {
                     self.install(version);
-                    self.freshness.note_copy(version < self.version);
+                    self.freshness.record_restored_state(version < self.version);
                     self.freshness.confirm_read(UnixMs(asked_ms));
                     self.cursor.advance(position.revision);
                 }
             }
-            Response::Gone => self.cursor.lose(),
+            Response::Gone => self.cursor.require_list(),
             Response::Watch { from, to, versions } => {
                 let told = self.update_era(to.era, now_ms);
                 // The response to a watch from a discarded position is ignored.
@@ -239,7 +239,7 @@
         for &version in versions {
             self.install(version);
             if version >= self.version {
-                self.freshness.note_written_again();
+                self.freshness.record_rewrite();
             }
         }
     }
@@ -250,15 +250,16 @@
         asked_ms: u64,
         now_ms: u64,
     ) {
-        let known = |known_ms| known_at(UnixMs(asked_ms), known_ms, UnixMs(now_ms));
+        let known =
+            |confirmed_ms| confirmed_at(UnixMs(asked_ms), confirmed_ms, UnixMs(now_ms));
         match reply {
-            WatchReply::Changes { position, news, known_ms } => {
+            WatchReply::Changes { position, news, confirmed_ms } => {
                 self.apply(&news);
-                self.freshness.confirm_read(known(known_ms));
+                self.freshness.confirm_read(known(confirmed_ms));
                 self.cursor.advance(position.revision);
             }
-            WatchReply::Unchanged { position, known_ms } => {
-                self.freshness.confirm_read(known(known_ms));
+            WatchReply::Unchanged { position, confirmed_ms } => {
+                self.freshness.confirm_read(known(confirmed_ms));
                 self.cursor.advance(position.revision);
             }
             WatchReply::OutOfSync => {}
@@ -386,22 +387,22 @@
         let Response::Watch { from, to, versions } = response else {
             return self.reset_hub();
         };
-        let known_ms = if versions.is_empty() { answered_ms } else { asked_ms };
+        let confirmed_ms = if versions.is_empty() { answered_ms } else { asked_ms };
         let brought = WatchResult {
             from,
             to,
-            news: (!versions.is_empty()).then_some(versions),
-            known_at: UnixMs(known_ms + HUB_CLOCK_OFFSET_MS),
+            changes: (!versions.is_empty()).then_some(versions),
+            confirmed_at: UnixMs(confirmed_ms + HUB_CLOCK_OFFSET_MS),
         };
-        if !brought.is_of_one_era() {
+        if !brought.is_single_era() {
             return self.reset_hub();
         }
         self.hub.position = Some(to);
-        if brought.news.is_some() {
+        if brought.changes.is_some() {
             self.hub.quiet_from = to;
         }
         let Some((asked_ms, question)) = self.entry.pending_request else { return };
-        let Some(reply) = question.hear(&brought) else { return };
+        let Some(reply) = question.reply_from(&brought) else { return };
         self.entry.pending_request = None;
         if self.entry.cursor.position() == Some(question.position) {
             self.entry.receive_from_hub(reply, asked_ms, self.now_ms);
--- a/crates/bilberry-entry/src/claims.rs
+++ b/crates/bilberry-entry/src/claims.rs
@@ -75,7 +75,9 @@
             };
             let now = SystemClock.now();
             let verdict = match parse(&existing) {
-                Some(other) => other.judge(&claim.attempt, &claim.request_hash, now),
+                Some(other) => {
+                    other.verdict_for(&claim.attempt, &claim.request_hash, now)
+                }
                 None => RepeatVerdict::Unclear,
             };
             match verdict {
--- a/crates/bilberry-entry/src/collect.rs
+++ b/crates/bilberry-entry/src/collect.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bilberry_core::Chain;
-use bilberry_core::patience_ms;
+use bilberry_core::late_probe_wait_ms;
 use futures_util::Stream;
 use futures_util::StreamExt;
 use tokio::time::Instant;
@@ -93,5 +93,5 @@
     let blocks = question.chains.values().map(Chain::len).max().unwrap_or(0) as u64;
     let views: Vec<_> = answers.iter().map(|answer| answer.view.clone()).collect();
     let max_ms = MAX_EXTENSION.as_secs_f64() * 1e3;
-    Duration::from_secs_f64(patience_ms(&views, blocks, max_ms) / 1e3)
+    Duration::from_secs_f64(late_probe_wait_ms(&views, blocks, max_ms) / 1e3)
 }
--- a/crates/bilberry-entry/src/entry.rs
+++ b/crates/bilberry-entry/src/entry.rs
@@ -121,7 +121,7 @@
         let allowance =
             Allowance::share(customer.rate_per_s, customer.concurrency, entries);
         let admission =
-            self.customers.lock().unwrap().enter(&customer.name, allowance, now);
+            self.customers.lock().unwrap().try_acquire(&customer.name, allowance, now);
         admission.map_err(limit_error)?;
         Ok(Admitted {
             entry: self.clone(),
@@ -145,7 +145,7 @@
 
 impl<P: Platform, K: Knowledge> Drop for Admitted<P, K> {
     fn drop(&mut self) {
-        self.entry.customers.lock().unwrap().leave(&self.customer.name);
+        self.entry.customers.lock().unwrap().release(&self.customer.name);
     }
 }
 
--- a/crates/bilberry-entry/src/plain.rs
+++ b/crates/bilberry-entry/src/plain.rs
@@ -112,7 +112,7 @@
         admitted: &Admitted<P, K>,
         call: &ServiceCall,
     ) -> Result<Response<OutBody>, ApiError> {
-        self.retry_budget.lock().unwrap().earn();
+        self.retry_budget.lock().unwrap().add_credit();
         let mut tried = Vec::new();
         loop {
             let error = match self.attempt(admitted, call, &mut tried).await {
--- a/crates/bilberry-entry/src/plain/attempt.rs
+++ b/crates/bilberry-entry/src/plain/attempt.rs
@@ -59,7 +59,7 @@
             }
         };
         loop {
-            let left = admitted.deadline.left(SystemClock.now());
+            let left = admitted.deadline.remaining(SystemClock.now());
             match timeout(left, call.next()).await {
                 Ok(Ok(Body::PlainAnswer(answer))) => {
                     return AttemptOutcome::Answered(answer);
--- a/crates/bilberry-entry/src/router.rs
+++ b/crates/bilberry-entry/src/router.rs
@@ -128,7 +128,7 @@
             "probe" => {
                 self.probe_and_choose(pool, request, &targets, ranked, &chains).await?
             }
-            _ => ranked.first()?.at,
+            _ => ranked.first()?.index,
         };
         let target = &targets[chosen];
         let chain = chains.get(&target.weights).cloned().unwrap_or_default();
@@ -152,7 +152,7 @@
     pub fn record_failure(&self, upstream: &Name) {
         let retry_at = SystemClock.now().plus_ms(EXCLUSION_MS);
         let mut states = self.states.lock().unwrap();
-        states.entry(upstream.clone()).or_default().breaker.fail(retry_at);
+        states.entry(upstream.clone()).or_default().breaker.record_failure(retry_at);
     }
 
     /// Returns the eligible upstreams of the pool.
@@ -229,7 +229,10 @@
                 );
             }
         };
-        positions.into_iter().map(|at| ProbeTarget { at, is_ranked: true }).collect()
+        positions
+            .into_iter()
+            .map(|at| ProbeTarget { index: at, is_ranked: true })
+            .collect()
     }
 
     fn load_candidates(&self, targets: &[Target]) -> Vec<Candidate> {
@@ -262,7 +265,7 @@
         ranked: Vec<ProbeTarget>,
         chains: &HashMap<Name, Chain>,
     ) -> Option<usize> {
-        let probed = ranked.iter().map(|&ProbeTarget { at, is_ranked }| {
+        let probed = ranked.iter().map(|&ProbeTarget { index: at, is_ranked }| {
             let target = targets[at].clone();
             Target { is_ranked, ..target }
         });
@@ -285,7 +288,7 @@
         let explained = Explained::new(&probed, &answers, blocks, weighing, best);
         self.node.events.record(&request.request, "routed", explained.detail());
         // If no upstream answered that it is ready, the first candidate is used.
-        best.or_else(|| views.is_empty().then_some(0)).map(|at| ranked[at].at)
+        best.or_else(|| views.is_empty().then_some(0)).map(|at| ranked[at].index)
     }
 
     fn record_answers(&self, probed: &[Target], answers: &[Answered]) {
@@ -299,9 +302,9 @@
                     entry.updated_at = now;
                     entry.weights =
                         Some(answer.weights.clone()).filter(|w| !w.is_empty());
-                    entry.breaker.succeed();
+                    entry.breaker.record_success();
                 }
-                None => entry.breaker.fail(now.plus_ms(EXCLUSION_MS)),
+                None => entry.breaker.record_failure(now.plus_ms(EXCLUSION_MS)),
             }
         }
     }
--- a/crates/bilberry-entry/src/run.rs
+++ b/crates/bilberry-entry/src/run.rs
@@ -75,7 +75,7 @@
 impl<P: Platform, K: Knowledge> Run<P, K> {
     pub(crate) fn new(entry: Arc<Entry<P, K>>, params: RunParams) -> Self {
         entry.node.metrics.requests.inc();
-        entry.retry_budget.lock().unwrap().earn();
+        entry.retry_budget.lock().unwrap().add_credit();
         Self {
             entry,
             params,
@@ -107,7 +107,7 @@
                 self.start_attempt().await?;
             }
             let Some(current) = &mut self.current else { continue };
-            let left = self.params.deadline.left(SystemClock.now());
+            let left = self.params.deadline.remaining(SystemClock.now());
             let message = match timeout(left, current.call.next()).await {
                 Ok(message) => message,
                 Err(_) => return Err(self.deadline_error()),
--- a/crates/bilberry-entry/src/run/attempt.rs
+++ b/crates/bilberry-entry/src/run/attempt.rs
@@ -93,7 +93,7 @@
         // link was interrupted for a moment. Without another try, a stream in a small
         // pool would end although the same upstream could continue it.
         self.waits += 1;
-        let left = self.params.deadline.left(SystemClock.now());
+        let left = self.params.deadline.remaining(SystemClock.now());
         tokio::time::sleep(LOST_UPSTREAM_RETRY_DELAY.min(left)).await;
         self.tried.clear();
         let request = RouteRequest { tried: Vec::new(), ..request };
--- a/crates/bilberry-gateway/examples/prompt_keys.rs
+++ b/crates/bilberry-gateway/examples/prompt_keys.rs
@@ -64,7 +64,7 @@
 
 fn hash_once(engines: &[Upstream], now: UnixMs) -> u64 {
     let keys = PromptKeys::new(black_box(SALT).to_string(), &PARTS);
-    engines.iter().map(|engine| keys.held_tokens(engine, now)).sum()
+    engines.iter().map(|engine| keys.cached_tokens(engine, now)).sum()
 }
 
 fn median_ns(compare: impl Fn() -> u64) -> f64 {
--- a/crates/bilberry-gateway/src/backup.rs
+++ b/crates/bilberry-gateway/src/backup.rs
@@ -50,8 +50,8 @@
             let suits = peer.id != main.id && peer.weights(model, now) == weights;
             (suits && fits && offer.usable).then_some((offer, peer))
         });
-        let best =
-            candidates.max_by_key(|(offer, _)| (offer.same_place, offer.free_tokens));
+        let best = candidates
+            .max_by_key(|(offer, _)| (offer.same_data_centre, offer.free_tokens));
         best.map(|(_, peer)| peer.clone())
     }
 
@@ -90,7 +90,7 @@
             return None;
         };
         run.mark_stream_closed();
-        let left = job.deadline.left(self.clock.now());
+        let left = job.deadline.remaining(self.clock.now());
         let first_run_end = match first_run_end {
             None => timeout(left, self.ensure_run_ended(&run)).await.ok(),
             known => known,
--- a/crates/bilberry-gateway/src/dispatch.rs
+++ b/crates/bilberry-gateway/src/dispatch.rs
@@ -6,7 +6,7 @@
 use bilberry_core::PeerCopy;
 use bilberry_core::Source;
 use bilberry_core::choose_source;
-use bilberry_core::is_worth_keeping;
+use bilberry_core::should_save;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
@@ -72,9 +72,8 @@
             job.supplied_tokens = supply.tokens;
             let own_tokens = job.call.prompt_tokens.saturating_sub(shared_tokens);
             dispatch.save_to = store.and_then(|store| {
-                let missing_tokens = shared_tokens - keys.kept_tokens(&store.kept, now);
-                is_worth_keeping(missing_tokens, own_tokens)
-                    .then_some(store.terms.address)
+                let missing_tokens = shared_tokens - keys.stored_tokens(&store.kept, now);
+                should_save(missing_tokens, own_tokens).then_some(store.terms.address)
             });
             if dispatch.resume_from.is_none() {
                 self.begin_reading(job, seat, supply.tokens);
@@ -94,16 +93,16 @@
         store: Option<&PromptStore>,
     ) -> PromptSupply {
         let now = self.clock.now();
-        let own_tokens = keys.held_tokens(&seat.upstream, now);
+        let own_tokens = keys.cached_tokens(&seat.upstream, now);
         let peers = self.upstreams.of(&job.pool.name);
         let others = peers.iter().filter(|peer| peer.id != seat.upstream.id);
         let others: Vec<_> = others.collect();
         let copies = others.iter().map(|peer| PeerCopy {
-            held_tokens: keys.held_tokens(peer, now),
-            same_place: peer.place == seat.upstream.place,
+            cached_tokens: keys.cached_tokens(peer, now),
+            same_data_centre: peer.place == seat.upstream.place,
         });
         let copies: Vec<_> = copies.collect();
-        let kept = store.map(|store| keys.kept_tokens(&store.kept, now));
+        let kept = store.map(|store| keys.stored_tokens(&store.kept, now));
         let chosen = match choose_source(own_tokens, &copies, kept) {
             Some(Source::Store) => {
                 let tokens = kept.unwrap_or_default().saturating_sub(own_tokens);
@@ -117,7 +116,7 @@
         };
         let (source, tokens) = match chosen {
             Some(Source::Peer(index)) => {
-                (Some(others[index].address), copies[index].held_tokens)
+                (Some(others[index].address), copies[index].cached_tokens)
             }
             Some(Source::Store) => {
                 (store.map(|store| store.terms.address), kept.unwrap_or_default())
--- a/crates/bilberry-gateway/src/forward.rs
+++ b/crates/bilberry-gateway/src/forward.rs
@@ -204,7 +204,7 @@
         job.earlier_crashes = self.earlier_crashes(job, &upstream);
         let repeatable = job.route.kind.is_repeatable();
         let may_repeat = self.may_run_after(job, job.runs + 1);
-        let left = job.deadline.left(now);
+        let left = job.deadline.remaining(now);
         let max_wait = response_timeout(job, upstream.is_followed(now));
         let sent = tokio::select! {
             sent = connection.send(request) => sent,
@@ -248,7 +248,7 @@
         job.sent_at = self.clock.now();
         job.sent_to = Some(upstream.clone());
         job.earlier_crashes = self.earlier_crashes(job, &upstream);
-        let left = job.deadline.left(job.sent_at);
+        let left = job.deadline.remaining(job.sent_at);
         let sent = timeout(left, connection.send(request)).await.ok()?;
         let response = match sent {
             Ok(response) => response,
--- a/crates/bilberry-gateway/src/gateway.rs
+++ b/crates/bilberry-gateway/src/gateway.rs
@@ -149,7 +149,7 @@
     /// Returns when the configuration may confirm keys again after the store was restored
     /// from an older copy; `None` if it confirms them.
     pub fn policy_doubted_until(&self) -> Option<UnixMs> {
-        self.policy_freshness.lock().unwrap().doubted_until()
+        self.policy_freshness.lock().unwrap().unverified_until()
     }
 
     /// Reports whether the configuration was confirmed within the last `within_ms`.
@@ -198,7 +198,7 @@
     /// configuration. Were all of them unready, callers would have no entry left although
     /// their keys are still valid at each.
     fn is_fresh_enough(&self, within_ms: u64) -> bool {
-        let has_doubt = self.policy_freshness.lock().unwrap().has_doubt();
+        let has_doubt = self.policy_freshness.lock().unwrap().has_unverified_restore();
         match has_doubt {
             true => self.keys_are_good(),
             false => self.policy_is_fresh(within_ms),
@@ -224,7 +224,7 @@
     /// Takes one retry from the service's budget; returns false if none is left.
     pub(crate) fn may_repeat(&self, pool: &Name, repeat: RetryKind) -> bool {
         let now = self.clock.now();
-        let entries = self.entries.lock().unwrap().get();
+        let entries = self.entries.lock().unwrap().current();
         self.with_budget(pool, |budget| budget.spend(now, entries, repeat))
     }
 
@@ -266,7 +266,7 @@
         left_ms: u64,
     ) -> Option<(u64, u64)> {
         let outages = self.outages.lock().unwrap();
-        outages.get(pool)?.come_back_ms(self.clock.now(), left_ms)
+        outages.get(pool)?.retry_delay_ms(self.clock.now(), left_ms)
     }
 
     /// Applies one record of the list of upstreams.
@@ -278,7 +278,7 @@
     /// Applies a state update from the sidecar of an upstream.
     pub fn hear(&self, id: &Name, state: UpstreamState) {
         let now = self.clock.now();
-        self.entries.lock().unwrap().hear(now, state.entries as usize);
+        self.entries.lock().unwrap().record_report(now, state.entries as usize);
         let ended = self.upstreams.feed(id, state, now);
         ended.iter().for_each(|ended| self.on_incarnation_end(ended));
     }
--- a/crates/bilberry-gateway/src/hubs.rs
+++ b/crates/bilberry-gateway/src/hubs.rs
@@ -92,7 +92,7 @@
     /// Sends a question to the sidecar that watches the store for this data centre's
     /// entries.
     pub async fn ask_hub(&self, ask: WatchRequest, until: UnixMs) -> HubReply {
-        let entries = self.entries.lock().unwrap().get().unwrap_or_default();
+        let entries = self.entries.lock().unwrap().current().unwrap_or_default();
         let Some(questions) = self.hubs.choose(&self.settings.place, entries) else {
             return HubReply::NoHub;
         };
@@ -100,7 +100,7 @@
         if questions.try_send(HubQuestion { ask, reply }).is_err() {
             return HubReply::Silent;
         }
-        match timeout(until.left(self.clock.now()), answered).await {
+        match timeout(until.remaining(self.clock.now()), answered).await {
             Ok(Ok(answer)) => HubReply::Answer(answer),
             _ => HubReply::Silent,
         }
--- a/crates/bilberry-gateway/src/known_crashes.rs
+++ b/crates/bilberry-gateway/src/known_crashes.rs
@@ -34,7 +34,8 @@
     /// Hashes the incarnation that the list or the sidecar reports; the start time is 0
     /// if none is known.
     pub(crate) fn of(upstream: &Upstream) -> Self {
-        let start = upstream.incarnation().map_or(0, |incarnation| incarnation.born_at.0);
+        let start =
+            upstream.incarnation().map_or(0, |incarnation| incarnation.started_at.0);
         Self(xxh3_64(format!("{}/{start}", upstream.id).as_bytes()))
     }
 
--- a/crates/bilberry-gateway/src/placement.rs
+++ b/crates/bilberry-gateway/src/placement.rs
@@ -9,7 +9,7 @@
 use bilberry_core::PlacementRequest;
 use bilberry_core::UnixMs;
 use bilberry_core::WeightsStatus;
-use bilberry_core::place;
+use bilberry_core::choose_upstream;
 use tokio::time::timeout;
 
 use crate::Dialect;
@@ -115,7 +115,7 @@
         now: UnixMs,
     ) -> WeightsStatus {
         let lacking_ms = self.weights.lacking_ms(model, version, now);
-        WeightsStatus::lacking(lacking_ms, self.settings.weights_bound_ms)
+        WeightsStatus::classify(lacking_ms, self.settings.weights_bound_ms)
     }
 
     /// Chooses an upstream with capacity, if there is one.
@@ -142,7 +142,8 @@
                 offer.weights = self.classify_weights(version, &model, now);
                 match version {
                     Some(version) => {
-                        offer.held_tokens = job.keys(version).held_tokens(upstream, now);
+                        offer.cached_tokens =
+                            job.keys(version).cached_tokens(upstream, now);
                     }
                     // Without a version there is no salt, and the cached prompt would be
                     // shared between all customers and all versions.
@@ -155,23 +156,23 @@
         if self.is_suspect(job) {
             keep_least_loaded(&mut offers);
         }
-        let index = place(&demand, &offers)?;
+        let index = choose_upstream(&demand, &offers)?;
         let version = versions[index].filter(|_| job.call.model.is_some());
         let same_weights =
             offers.iter().zip(&versions).filter(|(_, other)| **other == version);
-        let held_tokens = same_weights.map(|(offer, _)| offer.held_tokens).max();
+        let cached_tokens = same_weights.map(|(offer, _)| offer.cached_tokens).max();
         Some(Placement {
             upstream: upstreams[index].clone(),
             demand,
             weights: version,
-            held_tokens: held_tokens.unwrap_or_default(),
+            cached_tokens: cached_tokens.unwrap_or_default(),
         })
     }
 
     fn update_outage(&self, pool: &Name, upstreams: &[Arc<Upstream>], now: UnixMs) {
         let any_alive = upstreams.iter().any(|upstream| upstream.lives(now));
         let mut outages = self.outages.lock().unwrap();
-        outages.entry(pool.clone()).or_default().note(now, any_alive);
+        outages.entry(pool.clone()).or_default().record(now, any_alive);
     }
 
     /// Reserves capacity at the chosen upstream.
@@ -198,7 +199,7 @@
     /// The version of the upstream's weights.
     pub(crate) weights: Option<u64>,
     /// The largest number of shared tokens that any upstream with these weights holds.
-    pub(crate) held_tokens: u64,
+    pub(crate) cached_tokens: u64,
 }
 
 /// Keeps only the least loaded upstreams usable, so that a crash affects the fewest runs.
--- a/crates/bilberry-gateway/src/plain_response.rs
+++ b/crates/bilberry-gateway/src/plain_response.rs
@@ -41,7 +41,7 @@
         mut response: UpstreamResponse,
     ) -> Result<PlainResponse, Refusal> {
         self.record_prompt_read(job, &mut response.seat);
-        let left = job.deadline.left(self.clock.now());
+        let left = job.deadline.remaining(self.clock.now());
         let mut read = BytesMut::new();
         let reading = buffer_body(&mut response, &mut read);
         let is_complete = match timeout(left, reading).await {
@@ -104,7 +104,7 @@
             if pieces.send(BodyPiece::Data(next)).await.is_err() {
                 return BodyEnd::CallerLeft;
             }
-            let left = job.deadline.left(self.clock.now());
+            let left = job.deadline.remaining(self.clock.now());
             let frame = tokio::select! {
                 frame = response.http.body_mut().frame() => frame,
                 _ = pieces.closed() => return BodyEnd::CallerLeft,
--- a/crates/bilberry-gateway/src/pool_summary.rs
+++ b/crates/bilberry-gateway/src/pool_summary.rs
@@ -14,7 +14,7 @@
 use bilberry_core::Clock;
 use bilberry_core::Name;
 use bilberry_core::UnixMs;
-use bilberry_core::home;
+use bilberry_core::highest_ranked;
 use bilberry_wire::EntryNotice;
 use bilberry_wire::ModelVersion;
 use tokio::sync::watch;
@@ -143,7 +143,7 @@
     let eligible = eligible.filter(|peer| peer.is_followed(now) && !peer.is_leaving());
     let seeds: Vec<u64> = eligible.map(|peer| peer.seed).collect();
     let followers = stores.iter().filter_map(|store| {
-        let at = home(store.seed, &seeds)?;
+        let at = highest_ranked(store.seed, &seeds)?;
         Some((store.terms.address.to_string(), seeds[at]))
     });
     followers.collect()
--- a/crates/bilberry-gateway/src/prompt_keys.rs
+++ b/crates/bilberry-gateway/src/prompt_keys.rs
@@ -47,12 +47,12 @@
     }
 
     /// Returns how many leading shared tokens an upstream holds.
-    pub fn held_tokens(&self, upstream: &Upstream, now: UnixMs) -> u64 {
+    pub fn cached_tokens(&self, upstream: &Upstream, now: UnixMs) -> u64 {
         self.leading_tokens(|key| upstream.holds(key, now))
     }
 
     /// Returns how many leading shared tokens a prompt store is assumed to hold.
-    pub fn kept_tokens(&self, kept: &StoreContents, now: UnixMs) -> u64 {
+    pub fn stored_tokens(&self, kept: &StoreContents, now: UnixMs) -> u64 {
         self.leading_tokens(|key| kept.has(key, now))
     }
 
--- a/crates/bilberry-gateway/src/prompt_stores.rs
+++ b/crates/bilberry-gateway/src/prompt_stores.rs
@@ -16,7 +16,7 @@
 use bilberry_core::Name;
 use bilberry_core::Transfer;
 use bilberry_core::UnixMs;
-use bilberry_core::home;
+use bilberry_core::highest_ranked;
 use bilberry_wire::StoreChange;
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::xxh3_64;
@@ -101,7 +101,7 @@
     pub fn home(&self, subject: u64) -> Option<Arc<PromptStore>> {
         let mut answering = self.answering();
         let seeds: Vec<u64> = answering.iter().map(|store| store.seed).collect();
-        home(subject, &seeds).map(|at| answering.swap_remove(at))
+        highest_ranked(subject, &seeds).map(|at| answering.swap_remove(at))
     }
 
     /// Records parts that an upstream has prefilled and may have written to a store.
@@ -185,8 +185,8 @@
     ) -> bool {
         // A link without a configured capacity is not limited.
         let Some(tokens_per_s) = self.link_tokens_per_s else { return true };
-        let same_place = self.terms.place.as_ref() == Some(place);
-        let transfer = Transfer { tokens, same_place };
-        self.link.lock().unwrap().take(now, transfer, tokens_per_s, entries)
+        let same_data_centre = self.terms.place.as_ref() == Some(place);
+        let transfer = Transfer { tokens, same_data_centre };
+        self.link.lock().unwrap().try_take(now, transfer, tokens_per_s, entries)
     }
 }
--- a/crates/bilberry-gateway/src/readings.rs
+++ b/crates/bilberry-gateway/src/readings.rs
@@ -4,7 +4,7 @@
 use bilberry_core::Clock;
 use bilberry_core::PrefillInProgress;
 use bilberry_core::UnixMs;
-use bilberry_core::most_wait_for_parts_ms;
+use bilberry_core::max_part_wait_ms;
 use bilberry_wire::Body;
 use bilberry_wire::PrefillNotice;
 use bilberry_wire::ReadingNotice;
@@ -32,7 +32,7 @@
     ) -> Option<UnixMs> {
         let weights = choice.weights?;
         let now = self.clock.now();
-        let most_ms = most_wait_for_parts_ms(job.route.target_ms);
+        let most_ms = max_part_wait_ms(job.route.target_ms);
         let until =
             *job.waits_for_parts_until.get_or_insert_with(|| now.plus_ms(most_ms));
         if until.has_passed_at(now) {
@@ -40,14 +40,14 @@
         }
         let keys = job.keys(weights);
         let store = self.stores.home(job.affinity());
-        let kept_tokens = store.map_or(0, |store| keys.kept_tokens(&store.kept, now));
-        let known_tokens = choice.held_tokens.max(kept_tokens);
+        let stored_tokens = store.map_or(0, |store| keys.stored_tokens(&store.kept, now));
+        let known_tokens = choice.cached_tokens.max(stored_tokens);
         let (part, end) = keys.parts_after(known_tokens).next()?;
         let readings = self.readings.lock().unwrap();
         let read_ms = self.pace.read_ms(&job.pool.name, end - known_tokens);
-        let reading = readings.worth_awaiting(part, read_ms, now)?;
+        let reading = readings.prefill_to_await(part, read_ms, now)?;
         let reader = self.upstreams.get(&reading.upstream)?;
-        reader.lives(now).then(|| reading.done_by.min(until))
+        reader.lives(now).then(|| reading.expected_end.min(until))
     }
 
     /// Records the parts beyond `supplied_tokens` that a request prefills at its
@@ -112,10 +112,10 @@
     ) {
         let mut readings = self.readings.lock().unwrap();
         for reading in begun {
-            let done_by = now.plus_ms(reading.done_in_ms);
-            upstream.expect_reading(reading.part, done_by, now);
+            let expected_end = now.plus_ms(reading.done_in_ms);
+            upstream.expect_reading(reading.part, expected_end, now);
             let reading_there =
-                PrefillInProgress { upstream: upstream.id.clone(), done_by };
+                PrefillInProgress { upstream: upstream.id.clone(), expected_end };
             readings.begin(reading.part, reading_there, now);
         }
     }
@@ -140,5 +140,5 @@
 }
 
 fn incarnation_start_ms(seat: &Reservation) -> Option<u64> {
-    seat.upstream.incarnation().map(|incarnation| incarnation.born_at.0)
+    seat.upstream.incarnation().map(|incarnation| incarnation.started_at.0)
 }
--- a/crates/bilberry-gateway/src/relay.rs
+++ b/crates/bilberry-gateway/src/relay.rs
@@ -202,7 +202,7 @@
         let mut has_started = false;
         loop {
             let may_resume = self.may_run_after(job, job.runs + 1);
-            let left = job.deadline.left(self.clock.now());
+            let left = job.deadline.remaining(self.clock.now());
             let frame = tokio::select! {
                 frame = response.http.body_mut().frame() => frame,
                 _ = pieces.closed() => return RelayEnd::Finished(BodyEnd::CallerLeft),
--- a/crates/bilberry-gateway/src/request_context.rs
+++ b/crates/bilberry-gateway/src/request_context.rs
@@ -127,7 +127,7 @@
         let customer = self.customer.as_ref().map_or("", |customer| &customer.name);
         let host = self.headers.get(HOST).map_or(&[][..], |host| host.as_bytes());
         let path = self.uri.path_and_query().map_or("", |path| path.as_str());
-        RequestKey::of(&[
+        RequestKey::from_parts(&[
             customer.as_bytes(),
             self.method.as_str().as_bytes(),
             host,
--- a/crates/bilberry-gateway/src/run_stop.rs
+++ b/crates/bilberry-gateway/src/run_stop.rs
@@ -111,10 +111,10 @@
     /// Waits, without a time limit, until a run has ended at the engine that started it.
     pub(crate) async fn ensure_run_ended(&self, run: &RunTakeover) -> FirstRunEnd {
         let began_at = self.clock.now();
-        let mut reaching = ConnectAttempts::default();
+        let mut attempts = ConnectAttempts::default();
         let mut backoff = Backoff::new();
         loop {
-            let ended = self.try_end_run(run, &mut reaching, &backoff).await;
+            let ended = self.try_end_run(run, &mut attempts, &backoff).await;
             if let Some(first_run_end) = ended {
                 let took_ms = self.clock.now().ms_since(began_at);
                 log_run_end(run, &first_run_end, took_ms);
@@ -131,7 +131,7 @@
     async fn try_end_run(
         &self,
         run: &RunTakeover,
-        reaching: &mut ConnectAttempts,
+        attempts: &mut ConnectAttempts,
         backoff: &Backoff,
     ) -> Option<FirstRunEnd> {
         if run.upstream.has_ended() {
@@ -146,7 +146,7 @@
         };
         let sidecar = run.upstream.sidecar_status(self.clock.now());
         let stream_is_open = run.stream_is_open.load(Ordering::Relaxed);
-        match (reaching.note(reach, sidecar, stream_is_open), connected) {
+        match (attempts.record(reach, sidecar, stream_is_open), connected) {
             (Some(end), _) => Some(FirstRunEnd::Ended(end)),
             (None, Ok(connection)) if run.can_be_stopped => {
                 let stopping = self.stop_run(run, connection);
--- a/crates/bilberry-gateway/src/upstream.rs
+++ b/crates/bilberry-gateway/src/upstream.rs
@@ -287,13 +287,13 @@
         self.parts.lock().unwrap().insert(key, since);
     }
 
-    /// Records that it is expected to hold a part from `done_by` on, unless it holds
+    /// Records that it is expected to hold a part from `expected_end` on, unless it holds
     /// the part already.
-    pub fn expect_reading(&self, key: u64, done_by: UnixMs, now: UnixMs) {
+    pub fn expect_reading(&self, key: u64, expected_end: UnixMs, now: UnixMs) {
         let mut parts = self.parts.lock().unwrap();
-        let since = parts.entry(key).or_insert(done_by);
+        let since = parts.entry(key).or_insert(expected_end);
         if !is_held(*since, now) {
-            *since = done_by;
+            *since = expected_end;
         }
         prune_expired(&mut parts, now);
     }
@@ -453,14 +453,14 @@
         PlacementCandidate {
             seed: self.seed,
             usable: live.is_eligible(now),
-            same_place: self.place == own_place,
+            same_data_centre: self.place == own_place,
             free_slots: capacity.saturating_sub(in_progress),
             free_tokens: total_tokens.map_or(u64::MAX, |t| t.saturating_sub(used_tokens)),
             pending_tokens: live.pending_tokens,
             running: in_progress,
             queued,
             weights: WeightsStatus::Acceptable,
-            held_tokens: 0,
+            cached_tokens: 0,
             loads_in_ms: live.loads_at.map(|at| at.ms_since(now)),
         }
     }
--- a/crates/bilberry-gateway/src/weights.rs
+++ b/crates/bilberry-gateway/src/weights.rs
@@ -21,7 +21,7 @@
     /// whether it is new.
     pub fn note(&self, model: &Name, version: u64, since: UnixMs) -> bool {
         let mut by_model = self.by_model.lock().unwrap();
-        let is_new = by_model.entry(model.clone()).or_default().note(version, since);
+        let is_new = by_model.entry(model.clone()).or_default().record(version, since);
         if is_new {
             self.changed.notify_one();
         }
@@ -45,7 +45,7 @@
         now: UnixMs,
     ) -> Option<u64> {
         let by_model = self.by_model.lock().unwrap();
-        let since = by_model.get(model)?.lacking_since(version.unwrap_or_default())?;
+        let since = by_model.get(model)?.outdated_since(version.unwrap_or_default())?;
         Some(now.ms_since(since))
     }
 }
--- a/crates/bilberry-gateway/tests/incarnations.rs
+++ b/crates/bilberry-gateway/tests/incarnations.rs
@@ -41,7 +41,7 @@
         leaving: false,
         models: vec![(MODEL.into(), version)],
         listed_at: StorePosition { era: None, revision: 1 },
-        incarnation: born_ms.map(|ms| Incarnation { born_at: UnixMs(ms) }),
+        incarnation: born_ms.map(|ms| Incarnation { started_at: UnixMs(ms) }),
     }
 }
 
--- a/crates/bilberry-gateway/tests/knowledge.rs
+++ b/crates/bilberry-gateway/tests/knowledge.rs
@@ -92,16 +92,16 @@
     let upstream = engine();
     upstream.feed(idle(), now);
     let kept = StoreContents::default();
-    assert_eq!(keys.held_tokens(&upstream, now), 0);
+    assert_eq!(keys.cached_tokens(&upstream, now), 0);
     upstream.expect_part(part_keys[0], now);
     upstream.expect_part(part_keys[2], now);
     kept.record_write(&upstream.id, part_keys[1], now);
-    assert_eq!(keys.held_tokens(&upstream, now), 100);
-    assert_eq!(keys.kept_tokens(&kept, now), 0);
+    assert_eq!(keys.cached_tokens(&upstream, now), 100);
+    assert_eq!(keys.stored_tokens(&kept, now), 0);
     upstream.expect_part(part_keys[1], now);
     kept.record_write(&upstream.id, part_keys[0], now);
-    assert_eq!(keys.held_tokens(&upstream, now), 160);
-    assert_eq!(keys.kept_tokens(&kept, now), 140);
+    assert_eq!(keys.cached_tokens(&upstream, now), 160);
+    assert_eq!(keys.stored_tokens(&kept, now), 140);
 }
 
 #[test]
--- a/crates/bilberry-load/src/decide/replay.rs
+++ b/crates/bilberry-load/src/decide/replay.rs
@@ -10,9 +10,9 @@
 use bilberry_core::Rollout;
 use bilberry_core::RolloutPlace;
 use bilberry_core::UnixMs;
-use bilberry_core::may_begin_load;
-use bilberry_core::most_wait_for_parts_ms;
-use bilberry_core::place;
+use bilberry_core::choose_upstream;
+use bilberry_core::max_part_wait_ms;
+use bilberry_core::may_start_load;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::decide::agenda::Agenda;
@@ -167,7 +167,7 @@
     /// Has an engine load weights, once what waits there may be thrown back.
     fn begin_load(&mut self, engine: usize, version: u64, turn_at: UnixMs, now_ms: f64) {
         let waiting = self.engines[engine].waiting(now_ms);
-        if !may_begin_load(turn_at, waiting, unix(now_ms)) {
+        if !may_start_load(turn_at, waiting, unix(now_ms)) {
             let what = What::Load { engine, version, turn_at };
             return self.put(now_ms + ASK_EVERY_MS, what);
         }
@@ -244,8 +244,8 @@
     fn tell(&mut self, entry: usize, engine: usize, read: &[(u64, u64)], now_ms: f64) {
         for &(part, _) in read {
             let Some(held) = self.engines[engine].part(part) else { continue };
-            let done_by = unix(held.told_for_ms);
-            let reading = PrefillInProgress { upstream: name(engine), done_by };
+            let expected_end = unix(held.told_for_ms);
+            let reading = PrefillInProgress { upstream: name(engine), expected_end };
             self.readings[entry].begin(part, reading.clone(), unix(now_ms));
             self.put(now_ms + TELL_MS, What::Tell { from: entry, part, reading });
         }
@@ -267,7 +267,9 @@
             body_bytes: 0,
             can_fetch: true,
         };
-        let Some(engine) = place(&demand, &offers) else { return Choice::Nowhere };
+        let Some(engine) = choose_upstream(&demand, &offers) else {
+            return Choice::Nowhere;
+        };
         match self.awaits_until(request, engine, &offers, now_ms) {
             Some(at_ms) => Choice::Later(at_ms),
             None => Choice::At(engine),
@@ -286,10 +288,10 @@
         }
         let arrival = &self.arrivals[request];
         let target_ms = self.load.requests[arrival.kind].target_ms;
-        let until_ms = arrival.at_ms + most_wait_for_parts_ms(target_ms) as f64;
+        let until_ms = arrival.at_ms + max_part_wait_ms(target_ms) as f64;
         let version = self.engines[engine].version;
         let like = offers.iter().zip(&self.engines).filter(|(_, e)| e.version == version);
-        let known = like.map(|(offer, _)| offer.held_tokens).max().unwrap_or_default();
+        let known = like.map(|(offer, _)| offer.cached_tokens).max().unwrap_or_default();
         let mut end = 0;
         let parts = self.keys(request, engine).parts;
         let missing = parts.iter().find(|&&(_, tokens)| {
@@ -299,8 +301,8 @@
         let &(part, tokens) = missing?;
         let read_ms = tokens as f64 / self.load.engines.read_tokens_per_ms;
         let readings = &self.readings[arrival.entry];
-        let reading = readings.worth_awaiting(part, read_ms as u64, unix(now_ms))?;
-        let done_ms = (reading.done_by.0 - BEGIN.0) as f64;
+        let reading = readings.prefill_to_await(part, read_ms as u64, unix(now_ms))?;
+        let done_ms = (reading.expected_end.0 - BEGIN.0) as f64;
         (until_ms > now_ms).then(|| done_ms.min(until_ms).max(now_ms + 1.0))
     }
 
@@ -323,12 +325,12 @@
         PlacementCandidate {
             seed: xxh3_64(name(at).as_bytes()),
             usable: !self.is_known_away(at, now_ms) && !self.tried[request].contains(&at),
-            same_place: true,
+            same_data_centre: true,
             free_slots: terms.slots.saturating_sub(seen.len() as u64),
             free_tokens: terms.memory_tokens.saturating_sub(used),
             pending_tokens: unread.map(|run| run.read_tokens).sum(),
             running: seen.len() as u64,
-            held_tokens: keys.parts[..held].iter().map(|&(_, tokens)| tokens).sum(),
+            cached_tokens: keys.parts[..held].iter().map(|&(_, tokens)| tokens).sum(),
             ..PlacementCandidate::default()
         }
     }
--- a/crates/bilberry-platform/src/http.rs
+++ b/crates/bilberry-platform/src/http.rs
@@ -171,7 +171,7 @@
     ///
     /// Otherwise each call during an outage would block until its deadline.
     fn admit(&self) -> Result<(), PlatformError> {
-        match self.shared.health.lock().unwrap().breaker.admit(SystemClock.now()) {
+        match self.shared.health.lock().unwrap().breaker.try_acquire(SystemClock.now()) {
             true => Ok(()),
             false => Err(PlatformError::Open),
         }
@@ -185,7 +185,7 @@
         let unit = rand::random_range(0.5..1.0);
         let max_ms = self.shared.max_open_ms;
         let open_ms = backoff_ms(health.consecutive_failures, MIN_OPEN_MS, max_ms, unit);
-        health.breaker.fail(SystemClock.now().plus_ms(open_ms));
+        health.breaker.record_failure(SystemClock.now().plus_ms(open_ms));
     }
 }
 
--- a/crates/bilberry-sidecar/src/admission.rs
+++ b/crates/bilberry-sidecar/src/admission.rs
@@ -112,7 +112,7 @@
         work: Work,
         now: UnixMs,
     ) -> Result<Permit, Refusal> {
-        let left = work.deadline.left(now);
+        let left = work.deadline.remaining(now);
         let (outcome_receiver, key) = match self.decide(work, now) {
             Decision::Run(permit) => return Ok(permit),
             Decision::Refused { wait_ms } => return Err(Refusal::Busy { wait_ms }),
--- a/crates/bilberry-sidecar/src/cache.rs
+++ b/crates/bilberry-sidecar/src/cache.rs
@@ -30,7 +30,7 @@
         }
         // Events were missed, possibly including restarts of the engine, so the index
         // is unreliable until the next snapshot.
-        index.lock().unwrap().doubt();
+        index.lock().unwrap().mark_incomplete();
         tokio::time::sleep(RESUBSCRIBE_DELAY).await;
     }
 }
@@ -59,6 +59,6 @@
 async fn resync<E: Engine>(engine: &E, index: &SharedIndex) -> Result<(), EngineError> {
     let snapshot = engine.snapshot().await?;
     let mut index = index.lock().unwrap();
-    index.replace(snapshot.incarnation, snapshot.next_sequence, snapshot.blocks);
+    index.load_snapshot(snapshot.incarnation, snapshot.next_sequence, snapshot.blocks);
     Ok(())
 }
--- a/crates/bilberry-sidecar/src/engine_view.rs
+++ b/crates/bilberry-sidecar/src/engine_view.rs
@@ -8,7 +8,7 @@
 use arc_swap::ArcSwap;
 use bilberry_core::Name;
 use bilberry_core::Scope;
-use bilberry_core::marked_weights;
+use bilberry_core::weights_with_marker;
 
 use crate::Admission;
 use crate::Engine;
@@ -66,7 +66,7 @@
         let marks = self.marks.lock().unwrap();
         match marks.by_version.get(&info.weights) {
             Some(&mark) if marks.incarnation == info.incarnation => {
-                marked_weights(&info.weights, mark)
+                weights_with_marker(&info.weights, mark)
             }
             _ => info.weights.as_str().into(),
         }
@@ -113,6 +113,6 @@
 fn clear_index_after_restart(index: &SharedIndex, incarnation: u64) {
     let mut index = index.lock().unwrap();
     if index.incarnation() != incarnation {
-        index.enter(incarnation);
+        index.reset(incarnation);
     }
 }
--- a/crates/bilberry-sidecar/src/health.rs
+++ b/crates/bilberry-sidecar/src/health.rs
@@ -32,12 +32,12 @@
 
     /// Returns whether a call may be made.
     pub(crate) fn admit(&self) -> bool {
-        self.calls.lock().unwrap().admit(SystemClock.now())
+        self.calls.lock().unwrap().try_acquire(SystemClock.now())
     }
 
     /// Records a successful call.
     pub(crate) fn succeed(&self) {
-        self.calls.lock().unwrap().succeed();
+        self.calls.lock().unwrap().record_success();
     }
 
     /// Records a failed call.
@@ -51,7 +51,7 @@
     /// its state, and a successful report must not reset the breaker for calls.
     pub(crate) fn record_report(&self, succeeded: bool) {
         match succeeded {
-            true => self.reports.lock().unwrap().succeed(),
+            true => self.reports.lock().unwrap().record_success(),
             false => fail(&self.reports),
         }
     }
@@ -59,5 +59,5 @@
 
 fn fail(breaker: &Mutex<Breaker>) {
     let retry_at = SystemClock.now().plus_ms(BREAKER_OPEN_MS);
-    breaker.lock().unwrap().fail(retry_at);
+    breaker.lock().unwrap().record_failure(retry_at);
 }
--- a/crates/bilberry-steward/src/cache.rs
+++ b/crates/bilberry-steward/src/cache.rs
@@ -142,7 +142,7 @@
     /// are added and removed.
     pub fn forward_reading(&self, notice: ReadingNotice) {
         let contents = self.contents.lock().unwrap();
-        let read_by = notice.born_ms.map(|ms| Incarnation { born_at: UnixMs(ms) });
+        let read_by = notice.born_ms.map(|ms| Incarnation { started_at: UnixMs(ms) });
         if Incarnation::compare(contents.incarnation, read_by) != IncarnationOrder::Same {
             return;
         }
@@ -270,7 +270,7 @@
     }
 
     fn born_ms(&self) -> Option<u64> {
-        self.incarnation.map(|incarnation| incarnation.born_at.0)
+        self.incarnation.map(|incarnation| incarnation.started_at.0)
     }
 }
 
--- a/crates/bilberry-steward/src/engine_controller.rs
+++ b/crates/bilberry-steward/src/engine_controller.rs
@@ -8,8 +8,8 @@
 use bilberry_core::IncarnationOrder;
 use bilberry_core::Rollout;
 use bilberry_core::UnixMs;
-use bilberry_core::may_begin_load;
-use bilberry_core::sidecar_fence;
+use bilberry_core::may_start_load;
+use bilberry_core::sidecar_fencing_token;
 use bilberry_wire::ModelVersion;
 use bilberry_wire::UpstreamState;
 use tokio::sync::watch;
@@ -232,7 +232,7 @@
             let upstream = &mut published.upstream;
             upstream.up = true;
             upstream.cache_epoch = self.cache.epoch();
-            upstream.born_ms = state.incarnation.map(|current| current.born_at.0);
+            upstream.born_ms = state.incarnation.map(|current| current.started_at.0);
             upstream.leaving = report.is_leaving;
             upstream.loading = loading;
             upstream.models = report.models.clone();
@@ -247,7 +247,7 @@
         self.record_completed_load(report, state, now);
         let queued = report.queued;
         let is_due = |load: &NextLoad| {
-            load.starts_at <= now && may_begin_load(load.planned_at, queued, now)
+            load.starts_at <= now && may_start_load(load.planned_at, queued, now)
         };
         if let Some(load) = next_load.filter(|load| !report.busy && is_due(load)) {
             self.send_order(report, &load, state).await;
@@ -317,7 +317,7 @@
             let load_ms = now.ms_since(order.sent_at);
             log::info!(target: "weights", version = order.version, load_ms; "loaded");
             self.metrics.load_seconds.observe(load_ms as f64 / 1_000.0);
-            state.rollout.measure(load_ms);
+            state.rollout.record_load(load_ms);
             state.accepted_order = None;
         }
     }
@@ -335,7 +335,7 @@
             holder: self.holder.clone(),
             // Versions only increase, also across restarts of this process, which
             // persists no state. The fencing token therefore never decreases.
-            fencing_number: sidecar_fence(load.weights.version),
+            fencing_number: sidecar_fencing_token(load.weights.version),
             expected_orders: report.orders,
             incarnation: state.incarnation,
         };
--- a/crates/bilberry-steward/src/latest_weights.rs
+++ b/crates/bilberry-steward/src/latest_weights.rs
@@ -25,7 +25,7 @@
     /// Records that weights exist; older versions change nothing.
     pub fn hear(&self, model: &str, version: u64, now: UnixMs) {
         let mut known = self.known.lock().unwrap();
-        known.weights.entry(model.into()).or_default().note(version, now);
+        known.weights.entry(model.into()).or_default().record(version, now);
     }
 
     /// Records the newest weights and the rollout place that an entry reports.
@@ -47,7 +47,7 @@
     pub fn missing_version(&self, model: &str, version: u64) -> Option<(u64, UnixMs)> {
         let known = self.known.lock().unwrap();
         let weights = known.weights.get(model)?;
-        let since = weights.lacking_since(version)?;
+        let since = weights.outdated_since(version)?;
         weights.newest().map(|(newest, _)| (newest, since))
     }
 
--- a/crates/bilberry-steward/src/watch_hub.rs
+++ b/crates/bilberry-steward/src/watch_hub.rs
@@ -115,7 +115,7 @@
         let missed_no_other =
             |last: &&LastChange| !question.is_behind(last.unchanged_since);
         let last = self.last_change.as_ref().filter(missed_no_other);
-        let reply = last.and_then(|last| question.hear(&last.update));
+        let reply = last.and_then(|last| question.reply_from(&last.update));
         into_answer(reply.unwrap_or(WatchReply::OutOfSync))
     }
 }
@@ -150,7 +150,7 @@
         };
         loop {
             let reply = match outcomes.recv().await {
-                Ok(Outcome::Update(update)) => question.hear(&update),
+                Ok(Outcome::Update(update)) => question.reply_from(&update),
                 Ok(Outcome::Failed) => {
                     return answer_without_changes(WatchOutcome::StoreUnavailable);
                 }
@@ -186,7 +186,7 @@
                     // The client does not support eras, so it could not learn the era
                     // from the store either. It would alternate between the store and
                     // this hub without a delay.
-                    () if question.knows_no_era_of(shared.unchanged_since) => {
+                    () if question.lacks_era_of(shared.unchanged_since) => {
                         Err(answer_without_changes(WatchOutcome::StoreUnavailable))
                     }
                     () if question.is_behind(shared.unchanged_since) => {
@@ -227,11 +227,21 @@
                 Ok(SourceResponse::Unchanged(to)) => {
                     let latest = called_at.plus_ms(params.wait_ms);
                     let known_at = latest.min(self.clock.now());
-                    WatchResult { from: position, to, news: None, known_at }
+                    WatchResult {
+                        from: position,
+                        to,
+                        changes: None,
+                        confirmed_at: known_at,
+                    }
                 }
                 Ok(SourceResponse::Changed { position: to, changes }) => {
                     let news = Some(changes);
-                    WatchResult { from: position, to, news, known_at: called_at }
+                    WatchResult {
+                        from: position,
+                        to,
+                        changes: news,
+                        confirmed_at: called_at,
+                    }
                 }
                 Ok(SourceResponse::HistoryLost) => break,
                 Err(error) => {
@@ -241,16 +251,16 @@
                     continue;
                 }
             };
-            if !update.is_of_one_era() {
+            if !update.is_single_era() {
                 break;
             }
-            let is_change = update.news.is_some();
+            let is_change = update.changes.is_some();
             position = if is_change { update.to } else { position.max(update.to) };
             self.broadcast(&kind, Outcome::Update(update));
             if is_change {
                 // Lets changes in quick succession accumulate into one answer.
                 let next_at = called_at.plus_ms(params.spacing_ms);
-                sleep(next_at.left(self.clock.now())).await;
+                sleep(next_at.remaining(self.clock.now())).await;
             }
         }
         let ended = self.watches.lock().unwrap().remove(&kind);
@@ -280,7 +290,7 @@
         let mut watches = self.watches.lock().unwrap();
         let Some(shared) = watches.get_mut(kind) else { return };
         shared.failing = matches!(outcome, Outcome::Failed);
-        if let Outcome::Update(update @ WatchResult { news: Some(_), .. }) = &outcome {
+        if let Outcome::Update(update @ WatchResult { changes: Some(_), .. }) = &outcome {
             let unchanged_since =
                 std::mem::replace(&mut shared.unchanged_since, update.to);
             let update = update.clone();
@@ -300,17 +310,17 @@
 }
 
 fn into_answer(reply: WatchReply<Bytes>) -> WatchResponse {
-    let (outcome, position, known_ms, news) = match reply {
-        WatchReply::Changes { position, news, known_ms } => {
-            (WatchOutcome::Changed, position, known_ms, news)
+    let (outcome, position, confirmed_ms, news) = match reply {
+        WatchReply::Changes { position, news, confirmed_ms } => {
+            (WatchOutcome::Changed, position, confirmed_ms, news)
         }
-        WatchReply::Unchanged { position, known_ms } => {
-            (WatchOutcome::Unchanged, position, known_ms, Bytes::new())
+        WatchReply::Unchanged { position, confirmed_ms } => {
+            (WatchOutcome::Unchanged, position, confirmed_ms, Bytes::new())
         }
         WatchReply::OutOfSync => return answer_without_changes(WatchOutcome::OutOfSync),
     };
     let StorePosition { era, revision } = position;
-    WatchResponse { outcome: outcome.into(), revision, known_ms, news, era }
+    WatchResponse { outcome: outcome.into(), revision, confirmed_ms, news, era }
 }
 
 fn answer_without_changes(outcome: WatchOutcome) -> WatchResponse {
--- a/crates/bilberry-steward/tests/incarnations.rs
+++ b/crates/bilberry-steward/tests/incarnations.rs
@@ -88,7 +88,7 @@
 }
 
 fn incarnation(born_ms: u64) -> Incarnation {
-    Incarnation { born_at: UnixMs(born_ms) }
+    Incarnation { started_at: UnixMs(born_ms) }
 }
 
 fn report(born_ms: u64, version: u64, orders: u64) -> EngineReport {
@@ -277,7 +277,7 @@
     // whose cache is empty. Notices must not change the cache contents either, as only the
     // engine's own events report removals.
     let view = CacheView::new();
-    view.observe_incarnation(Incarnation { born_at: UnixMs(2) });
+    view.observe_incarnation(Incarnation { started_at: UnixMs(2) });
     let (_, mut changes) = view.subscribe();
     let notice = |born_ms| ReadingNotice {
         read: vec![7],
--- a/crates/bilberry-steward/tests/watch_hub.rs
+++ b/crates/bilberry-steward/tests/watch_hub.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// A clock that stands still, so that `known_ms` is deterministic.
+/// A clock that stands still, so that `confirmed_ms` is deterministic.
 #[derive(Debug, Copy, Clone)]
 struct FixedClock;
 
@@ -134,7 +134,7 @@
         assert_eq!((answer.revision, answer.news.as_ref()), (9, &b"changes"[..]));
         // The call was made when the request arrived, so the answer says nothing about any
         // later time.
-        assert_eq!(answer.known_ms, 0);
+        assert_eq!(answer.confirmed_ms, 0);
     }
 }
 
@@ -196,7 +196,7 @@
     assert_eq!(late.outcome(), WatchOutcome::Changed);
     assert_eq!((late.revision, late.news), (9, "changes".into()));
     // The answer is as old as the call that returned the change.
-    assert_eq!(late.known_ms, 0);
+    assert_eq!(late.confirmed_ms, 0);
     // An entry that is two changes behind has missed one that the hub no longer keeps.
     let next = fixture.request(9).await;
     fixture.respond(changed(11, "more"));
--- a/crates/bilberry-wire/src/feed.rs
+++ b/crates/bilberry-wire/src/feed.rs
@@ -143,13 +143,13 @@
 impl UpstreamState {
     /// Returns the incarnation that this message describes, if known.
     pub fn incarnation(&self) -> Option<Incarnation> {
-        self.born_ms.map(|ms| Incarnation { born_at: UnixMs(ms) })
+        self.born_ms.map(|ms| Incarnation { started_at: UnixMs(ms) })
     }
 }
 
 impl CacheChange {
     /// Returns the incarnation that this message describes, if known.
     pub fn incarnation(&self) -> Option<Incarnation> {
-        self.born_ms.map(|ms| Incarnation { born_at: UnixMs(ms) })
+        self.born_ms.map(|ms| Incarnation { started_at: UnixMs(ms) })
     }
 }
--- a/crates/bilberry-wire/src/shared_watch.rs
+++ b/crates/bilberry-wire/src/shared_watch.rs
@@ -63,7 +63,7 @@
     ///
     /// Relative, because the receiving host's clock may differ.
     #[prost(sint64, tag = "3")]
-    pub known_ms: i64,
+    pub confirmed_ms: i64,
     /// The changes in the encoding of the store.
     #[prost(bytes = "bytes", tag = "4")]
     pub news: Bytes,
