--- a/crates/bilberry-core/tests/store_eras.rs
+++ b/crates/bilberry-core/tests/store_eras.rs
@@ -219,7 +219,7 @@
 fn a_deregistered_server_is_not_used_again_after_a_restore() {
     // Otherwise requests would use up their limited retries on a server that is not
     // running, until the store expires its entry.
-    let born = |born_ms| Some(Incarnation { started_at: UnixMs(born_ms) });
+    let born = |started_at_ms| Some(Incarnation { started_at: UnixMs(started_at_ms) });
     let mut tombstones = Tombstones::new(HEARTBEAT_MS);
     tombstones.mark_departed(&"left".into(), born(500), UnixMs(9_000));
     // Without a restore, a listed server is running.
--- a/crates/bilberry-entry/src/admin.rs
+++ b/crates/bilberry-entry/src/admin.rs
@@ -133,7 +133,7 @@
 }
 
 impl<P: Platform, K: Knowledge> HttpHandler for Admin<P, K> {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
         match self.dispatch(request).await {
             Ok(response) => response,
             Err(error) => error.response(),
--- a/crates/bilberry-entry/src/fleet.rs
+++ b/crates/bilberry-entry/src/fleet.rs
@@ -118,7 +118,7 @@
     links: &Links,
     request: &str,
 ) -> Vec<TimelineEvent> {
-    let ask = EventsRequest { request: request.to_string(), most: MAX_EVENTS };
+    let ask = EventsRequest { request: request.to_string(), limit: MAX_EVENTS };
     let others = node.members.current().others(&node.process());
     let mut queries: FuturesUnordered<_> = others
         .into_iter()
--- a/crates/bilberry-entry/src/http_api.rs
+++ b/crates/bilberry-entry/src/http_api.rs
@@ -46,7 +46,7 @@
 }
 
 impl<P: Platform, K: Knowledge> HttpHandler for Entry<P, K> {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
         let id = request_id(request.headers());
         let result = self.clone().dispatch(request, &id).await;
         let mut response = match result {
--- a/crates/bilberry-gateway/examples/prompt_keys.rs
+++ b/crates/bilberry-gateway/examples/prompt_keys.rs
@@ -85,7 +85,7 @@
         id: format!("engine-{number}").into(),
         pool: "llm".into(),
         address: ([127, 0, 0, 1], number).into(),
-        place: "hall-a".into(),
+        data_centre: "hall-a".into(),
         slots: 48,
         leaving: false,
         models: Vec::new(),
--- a/crates/bilberry-gateway/src/backup.rs
+++ b/crates/bilberry-gateway/src/backup.rs
@@ -33,20 +33,20 @@
     /// take twice as long; then the one with the most free memory.
     pub(crate) fn choose_backup(
         &self,
-        job: &RequestContext,
+        context: &RequestContext,
         main: &Upstream,
     ) -> Option<Arc<Upstream>> {
-        let engine = job.pool.engine.filter(|engine| engine.keeps_backups)?;
-        let model = job.call.model.as_deref()?;
-        if job.route.kind != CallKind::NonRepeatableStream {
+        let engine = context.pool.engine.filter(|engine| engine.keeps_backups)?;
+        let model = context.call.model.as_deref()?;
+        if context.route.kind != CallKind::NonRepeatableStream {
             return None;
         }
         let now = self.clock.now();
         let weights = main.weights(model, now);
-        let peers = self.upstreams.of(&job.pool.name);
+        let peers = self.upstreams.of(&context.pool.name);
         let candidates = peers.iter().filter_map(|peer| {
-            let offer = peer.offer(now, &main.place, Some(engine));
-            let fits = offer.free_tokens >= job.call.memory_tokens();
+            let offer = peer.offer(now, &main.data_centre, Some(engine));
+            let fits = offer.free_tokens >= context.call.memory_tokens();
             let suits = peer.id != main.id && peer.weights(model, now) == weights;
             (suits && fits && offer.usable).then_some((offer, peer))
         });
@@ -58,12 +58,12 @@
     /// Returns the run that the engine with the backup can take over, if there is one.
     pub(crate) fn run_takeover(
         &self,
-        job: &RequestContext,
+        context: &RequestContext,
         upstream: &Arc<Upstream>,
     ) -> Option<RunTakeover> {
-        let successor = job.backup.clone()?;
-        let can_be_stopped = job.pool.engine.is_some_and(|engine| engine.stops_runs);
-        let attempt = job.call.attempt.clone();
+        let successor = context.backup.clone()?;
+        let can_be_stopped = context.pool.engine.is_some_and(|engine| engine.stops_runs);
+        let attempt = context.call.attempt.clone();
         Some(RunTakeover {
             attempt,
             upstream: upstream.clone(),
@@ -80,40 +80,40 @@
     /// still run the request when the caller's deadline passes.
     pub(crate) async fn resume_from_backup(
         self: &Arc<Self>,
-        job: &mut RequestContext,
+        context: &mut RequestContext,
         last_event: Option<u64>,
         upstream: &Arc<Upstream>,
         first_run_end: Option<FirstRunEnd>,
     ) -> Option<UpstreamResponse> {
-        let Some(run) = self.run_takeover(job, upstream) else {
-            job.add_detail("no engine has a backup of the KV cache");
+        let Some(run) = self.run_takeover(context, upstream) else {
+            context.add_detail("no engine has a backup of the KV cache");
             return None;
         };
         run.mark_stream_closed();
-        let left = job.deadline.remaining(self.clock.now());
+        let left = context.deadline.remaining(self.clock.now());
         let first_run_end = match first_run_end {
             None => timeout(left, self.ensure_run_ended(&run)).await.ok(),
             known => known,
         };
         let Some(first_run_end) = first_run_end else {
-            job.add_detail("the first engine may still run the request");
+            context.add_detail("the first engine may still run the request");
             return None;
         };
-        let backup = job.backup.take()?;
+        let backup = context.backup.take()?;
         let copy = match first_run_end {
             FirstRunEnd::Moved(copy) => copy,
             // The KV cache may never have been copied. An engine that hangs does not look
             // for a copy and runs the request from the beginning.
             FirstRunEnd::Ended(_) if last_event.is_none() => {
-                job.add_detail("no event was received before the run ended");
+                context.add_detail("no event was received before the run ended");
                 return None;
             }
             FirstRunEnd::Ended(_) => {
-                let name = job.call.attempt.clone();
+                let name = context.call.attempt.clone();
                 KvCacheCopy { named_by: backup.address, name }
             }
         };
-        let model = job.call.model.as_deref().unwrap_or_default();
+        let model = context.call.model.as_deref().unwrap_or_default();
         let now = self.clock.now();
         let version = backup.weights(model, now);
         let barred =
@@ -126,28 +126,29 @@
             _ if backup.paused_until(now).is_some() => {
                 Some("the backup engine asked for a pause")
             }
-            _ if self.is_suspect(job) => {
+            _ if self.is_suspect(context) => {
                 Some("the request may crash the backup engine as well")
             }
-            _ if !self.may_repeat(&job.pool.name, RetryKind::Resume) => {
+            _ if !self.try_spend_retry(&context.pool.name, RetryKind::Resume) => {
                 Some("the retry budget is exhausted")
             }
             _ => None,
         };
         if let Some(obstacle) = obstacle {
-            job.add_detail(obstacle);
+            context.add_detail(obstacle);
             return None;
         }
         let changed = self.upstreams.changed.clone();
-        let seat = Reservation::take(backup, job.call.memory_tokens(), 0, changed);
-        let last_event = last_event.or(job.call.last_event);
-        let response = self.send_to_backup(job, seat, last_event, copy).await;
+        let reservation =
+            Reservation::take(backup, context.call.memory_tokens(), 0, changed);
+        let last_event = last_event.or(context.call.last_event);
+        let response = self.send_to_backup(context, reservation, last_event, copy).await;
         self.metrics.count_send(match response {
             Some(_) => "resumed_from_copy",
             None => "no_copy",
         });
         if response.is_none() {
-            job.add_detail("the backup engine did not resume the run");
+            context.add_detail("the backup engine did not resume the run");
         }
         response.filter(|response| response.http.status() == StatusCode::OK)
     }
--- a/crates/bilberry-gateway/src/body_relay.rs
+++ b/crates/bilberry-gateway/src/body_relay.rs
@@ -37,9 +37,9 @@
 
 impl<D: Dialect, C: Clock> Gateway<D, C> {
     /// Records how long the caller waited for the first byte.
-    pub(crate) fn note_first_byte(&self, job: &mut RequestContext) {
-        let first_byte_ms = self.clock.now().ms_since(job.arrived_at);
-        job.first_byte_ms = Some(first_byte_ms);
+    pub(crate) fn note_first_byte(&self, context: &mut RequestContext) {
+        let first_byte_ms = self.clock.now().ms_since(context.arrived_at);
+        context.first_byte_ms = Some(first_byte_ms);
         self.metrics.first_byte_seconds.observe(first_byte_ms as f64 / 1_000.0);
     }
 
@@ -52,19 +52,20 @@
     ) -> Response<OutBody> {
         let mut response = Response::new(body);
         *response.status_mut() = status;
-        *response.headers_mut() = self.dialect.answer_headers(headers);
+        *response.headers_mut() = self.dialect.response_headers(headers);
         response
     }
 
     /// Counts and logs the outcome of a request.
-    pub(crate) fn record_outcome(&self, job: &RequestContext, outcome: &'static str) {
+    pub(crate) fn record_outcome(&self, context: &RequestContext, outcome: &'static str) {
         self.metrics.count_request(outcome);
         if outcome == BodyEnd::Complete.outcome() {
-            self.record_served(job);
+            self.record_served(context);
         }
-        let plain_success = outcome == "served" && job.sends == 1 && job.met_target();
-        if self.lines.spend(self.clock.now(), plain_success) {
-            log_outcome(job, outcome, &self.clock);
+        let plain_success =
+            outcome == "served" && context.sends == 1 && context.met_target();
+        if self.log_budget.spend(self.clock.now(), plain_success) {
+            log_outcome(context, outcome, &self.clock);
         } else {
             self.metrics.dropped_lines.inc();
         }
--- a/crates/bilberry-gateway/src/call.rs
+++ b/crates/bilberry-gateway/src/call.rs
@@ -16,7 +16,7 @@
     /// The caller's identifier of this attempt.
     pub attempt: Name,
     /// The caller's timeout, counted from the arrival of its request.
-    pub patience_ms: Option<u64>,
+    pub timeout_ms: Option<u64>,
     /// The API key that identifies the customer.
     pub key: Option<Name>,
     /// The requested model.
@@ -84,7 +84,7 @@
     /// The address of the prompt store to which it saves the parts that it computes.
     pub save_to: Option<SocketAddr>,
     /// The scheduling priority, from 0 (first) to 9 (last).
-    pub urgency: Option<u8>,
+    pub priority: Option<u8>,
     /// The version of the weights that the request must run on.
     pub weights: Option<u64>,
     /// The last event that the caller received.
@@ -113,7 +113,7 @@
     /// The attempt to stop.
     pub attempt: Name,
     /// The upstream that takes over the run.
-    pub next: SocketAddr,
+    pub successor: SocketAddr,
 }
 
 /// An upstream's reply to a call that stops a run.
@@ -163,7 +163,7 @@
     /// The upstream's load, if reported.
     pub load: Option<ServerLoad>,
     /// Whether the upstream is shutting down.
-    pub is_leaving: bool,
+    pub is_shutting_down: bool,
     /// How long this entry should send nothing, if the upstream rejected a request.
     pub retry_after_ms: Option<u64>,
 }
@@ -177,10 +177,10 @@
     fn request_headers(&self, inbound: &HeaderMap, dispatch: &Dispatch) -> HeaderMap;
 
     /// Returns the headers of the caller's response for those of an upstream's response.
-    fn answer_headers(&self, outbound: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, outbound: &HeaderMap) -> HeaderMap;
 
     /// Classifies an upstream's response to the attempt.
-    fn judge(
+    fn classify_response(
         &self,
         status: StatusCode,
         headers: &HeaderMap,
--- a/crates/bilberry-gateway/src/connections.rs
+++ b/crates/bilberry-gateway/src/connections.rs
@@ -196,7 +196,7 @@
             Ok(Err(error)) => return Err(connect_error(&error)),
             Err(elapsed) => return Err(ConnectError::Unreachable(elapsed.to_string())),
         };
-    set_options(&stream);
+    set_tcp_options(&stream);
     enable_keepalive(&stream);
     reset_on_close(&stream);
     let handshake = http1::Builder::new().handshake(TokioIo::new(stream)).await;
@@ -247,7 +247,7 @@
 }
 
 /// Disables Nagle's algorithm and sets the timeout for unacknowledged data.
-pub fn set_options(stream: &TcpStream) {
+pub fn set_tcp_options(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let user_timeout = Duration::from_millis(TCP_USER_TIMEOUT_MS);
     let options =
--- a/crates/bilberry-gateway/src/crashes.rs
+++ b/crates/bilberry-gateway/src/crashes.rs
@@ -50,28 +50,33 @@
     /// Does nothing for an upstream that is leaving, whose shutdown is planned.
     pub(crate) fn record_interrupted_run(
         self: &Arc<Self>,
-        job: &RequestContext,
+        context: &RequestContext,
         upstream: &Arc<Upstream>,
     ) {
         if upstream.is_leaving() && !upstream.has_ended() {
             return;
         }
-        let confirmation = match upstream.is_followed(self.clock.now()) {
+        let confirmation = match upstream.has_current_feed(self.clock.now()) {
             true => Confirmation::BySidecar { within: CONFIRM_WITHIN },
             false => Confirmation::ByProbe,
         };
         let ended_at = Some(self.clock.now());
-        self.watch_for_crash(job, upstream, ended_at, confirmation);
+        self.watch_for_crash(context, upstream, ended_at, confirmation);
     }
 
     /// Starts to watch for a crash of the upstream after a caller left while its
     /// request may still run; an engine may continue a request whose connection is
     /// closed.
-    pub(crate) fn record_abandoned_run(self: &Arc<Self>, job: &RequestContext) {
-        let Some(upstream) = &job.sent_to else { return };
-        if !upstream.is_leaving() && upstream.is_followed(self.clock.now()) {
+    pub(crate) fn record_abandoned_run(self: &Arc<Self>, context: &RequestContext) {
+        let Some(upstream) = &context.sent_to else { return };
+        if !upstream.is_leaving() && upstream.has_current_feed(self.clock.now()) {
             let within = ABANDONED_WITHIN;
-            self.watch_for_crash(job, upstream, None, Confirmation::BySidecar { within });
+            self.watch_for_crash(
+                context,
+                upstream,
+                None,
+                Confirmation::BySidecar { within },
+            );
         }
     }
 
@@ -80,14 +85,14 @@
     /// Without `ended_at`, the run is assumed to have lasted until the confirmation.
     fn watch_for_crash(
         self: &Arc<Self>,
-        job: &RequestContext,
+        context: &RequestContext,
         upstream: &Arc<Upstream>,
         ended_at: Option<UnixMs>,
         confirmation: Confirmation,
     ) {
         // There is no runtime if a caller leaves during the shutdown of the process.
         let Ok(runtime) = Handle::try_current() else { return };
-        let mut run = InterruptedRun::new(job, upstream);
+        let mut run = InterruptedRun::new(context, upstream);
         let gateway = self.clone();
         let upstream = upstream.clone();
         runtime.spawn(async move {
@@ -95,7 +100,7 @@
                 let ended_at = ended_at.unwrap_or_else(|| gateway.clock.now());
                 run.ran_ms = ended_at.ms_since(run.sent_at);
                 gateway.metrics.crashed_runs.inc();
-                match gateway.lines.spend(gateway.clock.now(), false) {
+                match gateway.log_budget.spend(gateway.clock.now(), false) {
                     true => run.log(&upstream),
                     false => drop(gateway.metrics.dropped_lines.inc()),
                 }
@@ -112,17 +117,20 @@
 
     /// Records that a request completed, so that earlier crashes are not attributed to
     /// it.
-    pub(crate) fn record_served(&self, job: &RequestContext) {
+    pub(crate) fn record_served(&self, context: &RequestContext) {
         let now = self.clock.now();
-        let voided = self.crashes.record_served(job.key, now);
+        let voided = self.crashes.record_served(context.key, now);
         self.share_crashes(voided);
     }
 
     /// Returns the refusal of a request in quarantine, unless the quarantine is pending.
-    pub(crate) fn check_quarantine(&self, job: &RequestContext) -> Result<(), Refusal> {
+    pub(crate) fn check_quarantine(
+        &self,
+        context: &RequestContext,
+    ) -> Result<(), Refusal> {
         let now = self.clock.now();
-        match self.crashes.standing(job.key, now) {
-            _ if self.crashes.is_quarantine_pending(job.key, now) => Ok(()),
+        match self.crashes.standing(context.key, now) {
+            _ if self.crashes.is_quarantine_pending(context.key, now) => Ok(()),
             RequestStatus::Quarantined { until } => {
                 Err(Refusal::Quarantined { for_ms: until.ms_since(now) })
             }
@@ -132,8 +140,8 @@
 
     /// Reports whether a request may have caused a crash. A suspect request is sent only
     /// once per attempt, to the upstream with the fewest other runs.
-    pub(crate) fn is_suspect(&self, job: &RequestContext) -> bool {
-        self.crashes.standing(job.key, self.clock.now()) != RequestStatus::Good
+    pub(crate) fn is_suspect(&self, context: &RequestContext) -> bool {
+        self.crashes.standing(context.key, self.clock.now()) != RequestStatus::Good
     }
 
     /// Returns how many crashes of an upstream's known incarnation have been reported,
@@ -144,18 +152,18 @@
     /// twice.
     pub(crate) fn earlier_crashes(
         &self,
-        job: &RequestContext,
+        context: &RequestContext,
         upstream: &Upstream,
     ) -> u64 {
-        match job.pool.engine {
+        match context.pool.engine {
             Some(_) => 0,
             None => self.crashes.count_crashes(IncarnationHash::of(upstream)),
         }
     }
 
     /// Reports whether a request may run once more after this many runs.
-    pub(crate) fn may_run_after(&self, job: &RequestContext, runs: u32) -> bool {
-        job.may_run_after(runs) && !self.is_suspect(job)
+    pub(crate) fn may_run_after(&self, context: &RequestContext, runs: u32) -> bool {
+        context.may_run_after(runs) && !self.is_suspect(context)
     }
 
     /// Merges reports, logs new quarantines, and shares the reports that originate here.
@@ -182,10 +190,10 @@
         let hash = first.request.0;
         let now = self.clock.now();
         let mut sidecars = self.upstreams.all();
-        sidecars.retain(|upstream| upstream.is_followed(now));
+        sidecars.retain(|upstream| upstream.has_current_feed(now));
         // The order depends on the request, so that all entries choose the same sidecars.
         sidecars.sort_by_key(|upstream| upstream.seed ^ hash);
-        for notice in CrashNotice::of(&reports) {
+        for notice in CrashNotice::batches(&reports) {
             let sent = sidecars.iter().filter(|upstream| {
                 upstream.send_to_sidecar(Body::CrashNotice(notice.clone()))
             });
@@ -218,15 +226,15 @@
 }
 
 impl InterruptedRun {
-    fn new(job: &RequestContext, upstream: &Upstream) -> Self {
-        let customer = job.customer.as_ref();
+    fn new(context: &RequestContext, upstream: &Upstream) -> Self {
+        let customer = context.customer.as_ref();
         Self {
-            attempt: job.call.attempt.clone(),
-            key: job.key,
+            attempt: context.call.attempt.clone(),
+            key: context.key,
             customer: customer.map(|c| c.name.clone()).unwrap_or_default(),
-            path: job.uri.path().to_string(),
-            server: IncarnationHash::of(upstream).crash_id(job.earlier_crashes),
-            sent_at: job.sent_at,
+            path: context.uri.path().to_string(),
+            server: IncarnationHash::of(upstream).crash_id(context.earlier_crashes),
+            sent_at: context.sent_at,
             ran_ms: 0,
         }
     }
@@ -262,7 +270,7 @@
 async fn has_crashed(upstream: &Upstream, confirmation: Confirmation) -> bool {
     match confirmation {
         Confirmation::BySidecar { within } => {
-            timeout(within, upstream.lost()).await.is_ok()
+            timeout(within, upstream.wait_until_lost()).await.is_ok()
         }
         Confirmation::ByProbe if upstream.has_ended() => true,
         Confirmation::ByProbe => {
--- a/crates/bilberry-gateway/src/dispatch.rs
+++ b/crates/bilberry-gateway/src/dispatch.rs
@@ -25,30 +25,30 @@
     /// Builds the request for an upstream.
     pub(crate) fn request(
         &self,
-        job: &mut RequestContext,
-        seat: &Reservation,
+        context: &mut RequestContext,
+        reservation: &Reservation,
         last_event: Option<u64>,
         resume_from: Option<KvCacheCopy>,
     ) -> Request<Full<Bytes>> {
         let now = self.clock.now();
-        let is_engine = job.pool.engine.is_some();
+        let is_engine = context.pool.engine.is_some();
         let mut dispatch = Dispatch {
-            upstream: seat.upstream.id.clone(),
-            left_ms: job.deadline.ms_since(now),
-            customer: job.customer.as_ref().map(|customer| customer.name.clone()),
-            urgency: is_engine.then(|| job.urgency()),
+            upstream: reservation.upstream.id.clone(),
+            left_ms: context.deadline.ms_since(now),
+            customer: context.customer.as_ref().map(|customer| customer.name.clone()),
+            priority: is_engine.then(|| context.priority()),
             last_event,
-            backup_to: job.backup.as_ref().map(|backup| backup.address),
+            backup_to: context.backup.as_ref().map(|backup| backup.address),
             resume_from,
             ..Dispatch::default()
         };
-        if let Some(weights) = job.weights.filter(|_| is_engine) {
-            self.set_cache_fields(job, seat, weights, &mut dispatch);
+        if let Some(weights) = context.weights.filter(|_| is_engine) {
+            self.set_cache_fields(context, reservation, weights, &mut dispatch);
         }
-        let headers = self.dialect.request_headers(&job.headers, &dispatch);
-        let mut request = Request::new(Full::new(job.body.clone()));
-        *request.method_mut() = job.method.clone();
-        *request.uri_mut() = job.uri.clone();
+        let headers = self.dialect.request_headers(&context.headers, &dispatch);
+        let mut request = Request::new(Full::new(context.body.clone()));
+        *request.method_mut() = context.method.clone();
+        *request.uri_mut() = context.uri.clone();
         *request.version_mut() = Version::HTTP_11;
         *request.headers_mut() = headers;
         request
@@ -57,26 +57,28 @@
     /// Sets the cache salt, and where cached prompt parts are fetched from and saved to.
     fn set_cache_fields(
         &self,
-        job: &mut RequestContext,
-        seat: &Reservation,
+        context: &mut RequestContext,
+        reservation: &Reservation,
         weights: u64,
         dispatch: &mut Dispatch,
     ) {
         let now = self.clock.now();
-        let keys = job.keys(weights);
-        let shared_tokens = job.call.shared_tokens();
+        let keys = context.keys(weights);
+        let shared_tokens = context.call.shared_tokens();
         if shared_tokens > 0 {
-            let store = self.stores.home(job.affinity());
-            let supply = self.prompt_supply(job, seat, &keys, store.as_deref());
+            let store = self.stores.home(context.affinity());
+            let supply =
+                self.prompt_supply(context, reservation, &keys, store.as_deref());
             dispatch.fetch_from = supply.source;
-            job.supplied_tokens = supply.tokens;
-            let own_tokens = job.call.prompt_tokens.saturating_sub(shared_tokens);
+            context.supplied_tokens = supply.tokens;
+            let own_tokens = context.call.prompt_tokens.saturating_sub(shared_tokens);
             dispatch.save_to = store.and_then(|store| {
-                let missing_tokens = shared_tokens - keys.stored_tokens(&store.kept, now);
+                let missing_tokens =
+                    shared_tokens - keys.stored_tokens(&store.contents, now);
                 should_save(missing_tokens, own_tokens).then_some(store.terms.address)
             });
             if dispatch.resume_from.is_none() {
-                self.begin_reading(job, seat, supply.tokens);
+                self.begin_prefill(context, reservation, supply.tokens);
             }
         }
         dispatch.weights = Some(weights);
@@ -87,26 +89,27 @@
     /// where.
     fn prompt_supply(
         &self,
-        job: &RequestContext,
-        seat: &Reservation,
+        context: &RequestContext,
+        reservation: &Reservation,
         keys: &PromptKeys,
         store: Option<&PromptStore>,
     ) -> PromptSupply {
         let now = self.clock.now();
-        let own_tokens = keys.cached_tokens(&seat.upstream, now);
-        let peers = self.upstreams.of(&job.pool.name);
-        let others = peers.iter().filter(|peer| peer.id != seat.upstream.id);
+        let own_tokens = keys.cached_tokens(&reservation.upstream, now);
+        let peers = self.upstreams.of(&context.pool.name);
+        let others = peers.iter().filter(|peer| peer.id != reservation.upstream.id);
         let others: Vec<_> = others.collect();
         let copies = others.iter().map(|peer| PeerCopy {
             cached_tokens: keys.cached_tokens(peer, now),
-            same_data_centre: peer.place == seat.upstream.place,
+            same_data_centre: peer.data_centre == reservation.upstream.data_centre,
         });
         let copies: Vec<_> = copies.collect();
-        let kept = store.map(|store| keys.stored_tokens(&store.kept, now));
+        let kept = store.map(|store| keys.stored_tokens(&store.contents, now));
         let chosen = match choose_source(own_tokens, &copies, kept) {
             Some(Source::Store) => {
                 let tokens = kept.unwrap_or_default().saturating_sub(own_tokens);
-                let may_move = |store| self.may_use_link(store, tokens, &seat.upstream);
+                let may_move =
+                    |store| self.may_use_link(store, tokens, &reservation.upstream);
                 match store.is_some_and(may_move) {
                     true => Some(Source::Store),
                     false => choose_source(own_tokens, &copies, None),
@@ -129,18 +132,19 @@
     /// Records that the response has started, which means that the prefill is done.
     pub(crate) fn record_prompt_read(
         &self,
-        job: &mut RequestContext,
-        seat: &mut Reservation,
+        context: &mut RequestContext,
+        reservation: &mut Reservation,
     ) {
-        seat.prompt_is_read();
-        self.end_reading(job, seat);
-        let Some(weights) = job.weights.filter(|_| !seat.upstream.has_ended()) else {
+        reservation.mark_prefilled();
+        self.end_prefill(context, reservation);
+        let Some(weights) = context.weights.filter(|_| !reservation.upstream.has_ended())
+        else {
             return;
         };
         let now = self.clock.now();
-        let keys: Vec<u64> = job.keys(weights).keys().collect();
-        keys.iter().for_each(|&key| seat.upstream.expect_part(key, now));
-        self.stores.note_read(&seat.upstream.id, &keys, now);
+        let keys: Vec<u64> = context.keys(weights).keys().collect();
+        keys.iter().for_each(|&key| reservation.upstream.expect_part(key, now));
+        self.stores.record_prefilled(&reservation.upstream.id, &keys, now);
     }
 }
 
--- a/crates/bilberry-gateway/src/feeds.rs
+++ b/crates/bilberry-gateway/src/feeds.rs
@@ -30,7 +30,7 @@
 use crate::Gateway;
 use crate::Policy;
 use crate::Upstream;
-use crate::connections::set_options;
+use crate::connections::set_tcp_options;
 use crate::hubs::HubQuestion;
 use crate::hubs::QUESTION_QUEUE_CAPACITY;
 use crate::upstreams::UpstreamsByPool;
@@ -147,9 +147,9 @@
     let timed_out = |_| std::io::Error::from(std::io::ErrorKind::TimedOut);
     let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let connected = connecting.await.map_err(timed_out)?;
-    gateway.sidecars.note(address.ip(), &connected, gateway.clock.now());
+    gateway.sidecars.record_connect(address.ip(), &connected, gateway.clock.now());
     let stream = connected?;
-    set_options(&stream);
+    set_tcp_options(&stream);
     let mut framed = Framed::new(stream, FrameCodec::new());
     let (queue, mut queued) = mpsc::channel(NOTICE_QUEUE_CAPACITY);
     let (questions, mut queued_questions) = mpsc::channel(QUESTION_QUEUE_CAPACITY);
@@ -209,7 +209,7 @@
         let state = match body {
             Some(Body::UpstreamState(state)) => Some(state),
             Some(Body::CacheChange(change)) => {
-                gateway.note_cache(id, &change);
+                gateway.apply_cache_change(id, &change);
                 None
             }
             Some(Body::StoreChange(change)) => {
@@ -231,7 +231,7 @@
                 let address = address.to_string();
                 log::info!(target: "sidecar", upstream = id.as_str(), address = address.as_str(); "heard");
             }
-            gateway.hear(id, state);
+            gateway.apply_sidecar_state(id, state);
             registration.get_or_insert_with(|| {
                 gateway.hubs.register(address, &upstream, questions.clone())
             });
--- a/crates/bilberry-gateway/src/forward.rs
+++ b/crates/bilberry-gateway/src/forward.rs
@@ -52,7 +52,7 @@
 pub(crate) struct UpstreamResponse {
     pub http: Response<Incoming>,
     pub connection: Connection,
-    pub seat: Reservation,
+    pub reservation: Reservation,
 }
 
 /// The outcome of one send.
@@ -74,13 +74,13 @@
     /// not run: a later upstream's refusal covers only the send to that upstream.
     pub(crate) async fn forward(
         self: &Arc<Self>,
-        job: &mut RequestContext,
+        context: &mut RequestContext,
     ) -> Result<UpstreamResponse, Refusal> {
         let mut failed = None;
-        match (self.try_upstreams(job, &mut failed).await, failed) {
+        match (self.try_upstreams(context, &mut failed).await, failed) {
             (Ok(response), _) => Ok(response),
             (Err(_), Some(response)) => Ok(response),
-            (Err(refusal), None) if job.runs > 0 && refusal.guarantees_not_run() => {
+            (Err(refusal), None) if context.runs > 0 && refusal.guarantees_not_run() => {
                 Err(Refusal::OutcomeUnknown)
             }
             (Err(refusal), None) => Err(refusal),
@@ -89,20 +89,21 @@
 
     async fn try_upstreams(
         self: &Arc<Self>,
-        job: &mut RequestContext,
+        context: &mut RequestContext,
         failed: &mut Option<UpstreamResponse>,
     ) -> Result<UpstreamResponse, Refusal> {
         loop {
-            let seat = self.acquire_seat(job).await?;
-            self.check_quarantine(job)?;
-            let upstream = seat.upstream.clone();
-            match self.send(job, seat).await {
+            let reservation = self.acquire_seat(context).await?;
+            self.check_quarantine(context)?;
+            let upstream = reservation.upstream.clone();
+            match self.send(context, reservation).await {
                 SendOutcome::Responded(response)
-                    if self.should_retry_elsewhere(job, &response) =>
+                    if self.should_retry_elsewhere(context, &response) =>
                 {
                     self.metrics.count_send("failed_there");
-                    job.detail = format!("status {}", response.http.status().as_u16());
-                    if !self.may_repeat(&job.pool.name, RetryKind::Resend) {
+                    context.detail =
+                        format!("status {}", response.http.status().as_u16());
+                    if !self.try_spend_retry(&context.pool.name, RetryKind::Resend) {
                         return Ok(*response);
                     }
                     *failed = Some(*response);
@@ -112,20 +113,20 @@
                     return Ok(*response);
                 }
                 SendOutcome::NotRun(reason) => {
-                    job.sent_to = None;
+                    context.sent_to = None;
                     self.metrics.count_send(reason);
-                    job.detail = reason.to_string();
-                    self.check_resend(job)?;
+                    context.detail = reason.to_string();
+                    self.check_resend(context)?;
                 }
                 SendOutcome::MayHaveRun(reason) => {
                     self.metrics.count_send(reason);
-                    job.detail = reason.to_string();
-                    job.runs += 1;
-                    let resumed = self.resume_from_backup(job, None, &upstream, None);
+                    context.detail = reason.to_string();
+                    context.runs += 1;
+                    let resumed = self.resume_from_backup(context, None, &upstream, None);
                     if let Some(response) = resumed.await {
                         return Ok(response);
                     }
-                    self.check_rerun(job)?;
+                    self.check_rerun(context)?;
                 }
                 SendOutcome::Expired => {
                     self.metrics.count_send("expired");
@@ -138,56 +139,57 @@
     /// Reports whether an error response should be retried on another upstream.
     fn should_retry_elsewhere(
         &self,
-        job: &mut RequestContext,
+        context: &mut RequestContext,
         response: &UpstreamResponse,
     ) -> bool {
         let failed = response.http.status().is_server_error();
-        if !failed || !job.route.kind.is_repeatable() {
+        if !failed || !context.route.kind.is_repeatable() {
             return false;
         }
-        job.runs += 1;
-        self.may_run_after(job, job.runs) && self.has_time(job)
+        context.runs += 1;
+        self.may_run_after(context, context.runs) && self.has_time(context)
     }
 
-    fn check_resend(&self, job: &RequestContext) -> Result<(), Refusal> {
-        let attempts_used_up = job.sends >= job.route.max_attempts + EXTRA_SENDS;
+    fn check_resend(&self, context: &RequestContext) -> Result<(), Refusal> {
+        let attempts_used_up = context.sends >= context.route.max_attempts + EXTRA_SENDS;
         // A connection that was never established put no load on any upstream.
-        let costs_nothing = job.detail == NOT_CONNECTED;
+        let costs_nothing = context.detail == NOT_CONNECTED;
         match !attempts_used_up
-            && self.has_time(job)
-            && (costs_nothing || self.may_repeat(&job.pool.name, RetryKind::Resend))
+            && self.has_time(context)
+            && (costs_nothing
+                || self.try_spend_retry(&context.pool.name, RetryKind::Resend))
         {
             true => Ok(()),
             false => Err(Refusal::NoCapacity),
         }
     }
 
-    fn check_rerun(&self, job: &RequestContext) -> Result<(), Refusal> {
-        let allowed = self.may_run_after(job, job.runs) && self.has_time(job);
-        match allowed && self.may_repeat(&job.pool.name, RetryKind::Resend) {
+    fn check_rerun(&self, context: &RequestContext) -> Result<(), Refusal> {
+        let allowed = self.may_run_after(context, context.runs) && self.has_time(context);
+        match allowed && self.try_spend_retry(&context.pool.name, RetryKind::Resend) {
             true => Ok(()),
             false => Err(Refusal::OutcomeUnknown),
         }
     }
 
-    fn has_time(&self, job: &RequestContext) -> bool {
-        !job.deadline.has_passed_at(self.clock.now())
+    fn has_time(&self, context: &RequestContext) -> bool {
+        !context.deadline.has_passed_at(self.clock.now())
     }
 
     async fn send(
         self: &Arc<Self>,
-        job: &mut RequestContext,
-        seat: Reservation,
+        context: &mut RequestContext,
+        reservation: Reservation,
     ) -> SendOutcome {
-        let upstream = seat.upstream.clone();
-        job.tried.push(upstream.clone());
-        job.backup = self.choose_backup(job, &upstream);
-        let last_event = job.call.last_event;
-        let request = self.request(job, &seat, last_event, None);
+        let upstream = reservation.upstream.clone();
+        context.tried.push(upstream.clone());
+        context.backup = self.choose_backup(context, &upstream);
+        let last_event = context.call.last_event;
+        let request = self.request(context, &reservation, last_event, None);
         // An at-most-once call gets a new connection. On a reused one, a response to
         // another call, or a close during the send, would leave it unknown whether the
         // call ran.
-        let reuse = job.route.kind != CallKind::NonRepeatable;
+        let reuse = context.route.kind != CallKind::NonRepeatable;
         let connected = self.connections.get(upstream.address, reuse).await;
         let mut connection = match connected {
             Ok(connection) => connection,
@@ -197,18 +199,18 @@
                 return SendOutcome::NotRun(NOT_CONNECTED);
             }
         };
-        job.sends += 1;
+        context.sends += 1;
         let now = self.clock.now();
-        job.sent_at = now;
-        job.sent_to = Some(upstream.clone());
-        job.earlier_crashes = self.earlier_crashes(job, &upstream);
-        let repeatable = job.route.kind.is_repeatable();
-        let may_repeat = self.may_run_after(job, job.runs + 1);
-        let left = job.deadline.remaining(now);
-        let max_wait = response_timeout(job, upstream.is_followed(now));
+        context.sent_at = now;
+        context.sent_to = Some(upstream.clone());
+        context.earlier_crashes = self.earlier_crashes(context, &upstream);
+        let repeatable = context.route.kind.is_repeatable();
+        let may_repeat = self.may_run_after(context, context.runs + 1);
+        let left = context.deadline.remaining(now);
+        let max_wait = response_timeout(context, upstream.has_current_feed(now));
         let sent = tokio::select! {
             sent = connection.send(request) => sent,
-            _ = upstream.lost(), if repeatable => {
+            _ = upstream.wait_until_lost(), if repeatable => {
                 Err(SendError::NoResponse("the upstream is down".to_string()))
             }
             _ = sleep(max_wait), if may_repeat => {
@@ -218,14 +220,16 @@
             _ = sleep(left) => return SendOutcome::Expired,
         };
         match sent {
-            Ok(response) => self.classify_response(job, response, connection, seat),
+            Ok(response) => {
+                self.classify_response(context, response, connection, reservation)
+            }
             Err(SendError::NotSent(_)) => {
                 upstream.record_failure(self.clock.now());
                 SendOutcome::NotRun(NOT_CONNECTED)
             }
             Err(SendError::NoResponse(_)) => {
                 upstream.record_failure(self.clock.now());
-                self.record_interrupted_run(job, &upstream);
+                self.record_interrupted_run(context, &upstream);
                 self.connections.close_idle_to(upstream.address);
                 SendOutcome::MayHaveRun("no_answer")
             }
@@ -235,29 +239,29 @@
     /// Sends the request to the engine that holds a backup of its KV cache.
     pub(crate) async fn send_to_backup(
         self: &Arc<Self>,
-        job: &mut RequestContext,
-        seat: Reservation,
+        context: &mut RequestContext,
+        reservation: Reservation,
         last_event: Option<u64>,
         copy: KvCacheCopy,
     ) -> Option<UpstreamResponse> {
-        let upstream = seat.upstream.clone();
-        job.tried.push(upstream.clone());
-        let request = self.request(job, &seat, last_event, Some(copy));
+        let upstream = reservation.upstream.clone();
+        context.tried.push(upstream.clone());
+        let request = self.request(context, &reservation, last_event, Some(copy));
         let mut connection = self.connections.get(upstream.address, true).await.ok()?;
-        job.sends += 1;
-        job.sent_at = self.clock.now();
-        job.sent_to = Some(upstream.clone());
-        job.earlier_crashes = self.earlier_crashes(job, &upstream);
-        let left = job.deadline.remaining(job.sent_at);
+        context.sends += 1;
+        context.sent_at = self.clock.now();
+        context.sent_to = Some(upstream.clone());
+        context.earlier_crashes = self.earlier_crashes(context, &upstream);
+        let left = context.deadline.remaining(context.sent_at);
         let sent = timeout(left, connection.send(request)).await.ok()?;
         let response = match sent {
             Ok(response) => response,
             Err(_) => {
-                self.record_interrupted_run(job, &upstream);
+                self.record_interrupted_run(context, &upstream);
                 return None;
             }
         };
-        match self.classify_response(job, response, connection, seat) {
+        match self.classify_response(context, response, connection, reservation) {
             SendOutcome::Responded(response) => Some(*response),
             _ => None,
         }
@@ -265,44 +269,44 @@
 
     fn classify_response(
         &self,
-        job: &RequestContext,
+        context: &RequestContext,
         response: Response<Incoming>,
         connection: Connection,
-        seat: Reservation,
+        reservation: Reservation,
     ) -> SendOutcome {
-        let verdict = self.dialect.judge(
+        let verdict = self.dialect.classify_response(
             response.status(),
             response.headers(),
-            &job.call.attempt,
-            &seat.upstream.id,
+            &context.call.attempt,
+            &reservation.upstream.id,
         );
         if !matches!(verdict, ResponseClass::Replaced | ResponseClass::Mismatched) {
             let status =
                 self.dialect.server_status(response.status(), response.headers());
-            seat.upstream.record_status(&status, self.clock.now());
+            reservation.upstream.record_status(&status, self.clock.now());
         }
         match verdict {
             ResponseClass::Valid => {
-                seat.upstream.note_answer();
+                reservation.upstream.record_answer();
                 SendOutcome::Responded(Box::new(UpstreamResponse {
                     http: response,
                     connection,
-                    seat,
+                    reservation,
                 }))
             }
             ResponseClass::Busy => {
-                seat.upstream.record_busy(self.clock.now(), BUSY_PAUSE_MS);
+                reservation.upstream.record_busy(self.clock.now(), BUSY_PAUSE_MS);
                 SendOutcome::NotRun("busy")
             }
             ResponseClass::OtherWeights => {
-                seat.upstream.record_busy(self.clock.now(), BUSY_PAUSE_MS);
+                reservation.upstream.record_busy(self.clock.now(), BUSY_PAUSE_MS);
                 SendOutcome::NotRun("other_weights")
             }
             ResponseClass::Replaced => {
-                seat.upstream.leave();
+                reservation.upstream.leave();
                 log::info!(
                     target: "upstream",
-                    upstream = seat.upstream.id.as_str();
+                    upstream = reservation.upstream.id.as_str();
                     "another upstream took over its address"
                 );
                 SendOutcome::NotRun("replaced")
@@ -317,11 +321,11 @@
 const NOT_CONNECTED: &str = "not_connected";
 
 /// Returns how long to wait for the head of a response before a retry.
-fn response_timeout(job: &RequestContext, is_followed: bool) -> Duration {
-    let factor = match job.route.kind.is_stream() {
+fn response_timeout(context: &RequestContext, is_followed: bool) -> Duration {
+    let factor = match context.route.kind.is_stream() {
         true if is_followed => LIVE_STREAM_TIMEOUT_FACTOR,
         true => STREAM_TIMEOUT_FACTOR,
         false => PLAIN_TIMEOUT_FACTOR,
     };
-    Duration::from_millis((job.route.target_ms as f64 * factor) as u64)
+    Duration::from_millis((context.route.target_ms as f64 * factor) as u64)
 }
--- a/crates/bilberry-gateway/src/gateway.rs
+++ b/crates/bilberry-gateway/src/gateway.rs
@@ -42,11 +42,11 @@
 #[derive(Debug, Clone)]
 pub struct GatewaySettings {
     /// The entry's data centre.
-    pub place: Name,
+    pub data_centre: Name,
     /// How long API keys stay valid after the last confirmation, if bounded.
-    pub keys_good_ms: Option<u64>,
+    pub key_max_age_ms: Option<u64>,
     /// How long requests may still start on outdated weights, if bounded.
-    pub weights_bound_ms: Option<u64>,
+    pub outdated_weights_max_ms: Option<u64>,
     /// The retry budget.
     pub budget: BudgetLimits,
 }
@@ -75,9 +75,9 @@
     /// Which engine hosts have shown that they run a sidecar.
     pub sidecars: SidecarPresenceMap,
     pub(crate) crashes: KnownCrashes,
-    pub(crate) pace: SpeedEstimates,
+    pub(crate) speed: SpeedEstimates,
     pub(crate) readings: Mutex<PrefillsInProgress>,
-    pub(crate) lines: LogLineBudget,
+    pub(crate) log_budget: LogLineBudget,
     pub(crate) pool_summaries: watch::Sender<PoolSummaries>,
     policy: ArcSwapOption<Policy>,
     policy_freshness: Mutex<Freshness>,
@@ -103,9 +103,9 @@
             hubs: Hubs::default(),
             sidecars: SidecarPresenceMap::default(),
             crashes: KnownCrashes::default(),
-            pace: SpeedEstimates::default(),
+            speed: SpeedEstimates::default(),
             readings: Mutex::default(),
-            lines: LogLineBudget::default(),
+            log_budget: LogLineBudget::default(),
             pool_summaries: watch::Sender::default(),
             policy: ArcSwapOption::empty(),
             policy_freshness: Mutex::default(),
@@ -123,7 +123,7 @@
     }
 
     /// Activates a configuration, unless the active one is as new or newer.
-    pub fn install(&self, policy: Policy) {
+    pub fn apply_policy(&self, policy: Policy) {
         let newer = |known: &Arc<Policy>| known.version >= policy.version;
         if self.policy.load().as_ref().is_some_and(newer) {
             return;
@@ -136,8 +136,8 @@
             "in force"
         );
         self.metrics.config_version.set(policy.version as i64);
-        self.upstreams.name_pools(policy.pools.keys().cloned());
-        self.stores.name(&policy);
+        self.upstreams.set_configured_pools(policy.pools.keys().cloned());
+        self.stores.configure(&policy);
         self.policy.store(Some(Arc::new(policy)));
     }
 
@@ -148,7 +148,7 @@
 
     /// Returns when the configuration may confirm keys again after the store was restored
     /// from an older copy; `None` if it confirms them.
-    pub fn policy_doubted_until(&self) -> Option<UnixMs> {
+    pub fn policy_unconfirmed_until(&self) -> Option<UnixMs> {
         self.policy_freshness.lock().unwrap().unverified_until()
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// Records that the platform store answered a request that this entry sent directly.
-    pub fn note_store_reached(&self, asked_at: UnixMs) {
+    pub fn record_store_contact(&self, asked_at: UnixMs) {
         self.store_freshness.lock().unwrap().confirm_read(asked_at);
     }
 
@@ -172,13 +172,13 @@
     ///
     /// A key may have been revoked while this entry can't reach the store. Once the bound
     /// has passed, the entry refuses all callers that need a key.
-    pub fn keys_are_good(&self) -> bool {
-        self.settings.keys_good_ms.is_none_or(|good_ms| self.policy_is_fresh(good_ms))
+    pub fn are_keys_confirmed(&self) -> bool {
+        self.settings.key_max_age_ms.is_none_or(|good_ms| self.policy_is_fresh(good_ms))
     }
 
     /// Reports whether this entry should receive new callers.
     pub fn is_ready(&self) -> bool {
-        let fresh = match self.settings.keys_good_ms {
+        let fresh = match self.settings.key_max_age_ms {
             // Half the bound, so that callers move before they are refused. Confirmations
             // through a hub keep the keys of existing callers valid; new callers are
             // better served by an entry that doesn't depend on a hub.
@@ -188,7 +188,7 @@
             }
             None => true,
         };
-        let knows_all = self.policy().is_some() && self.upstreams.is_listed();
+        let knows_all = self.policy().is_some() && self.upstreams.is_list_complete();
         !self.is_stopping() && knows_all && fresh
     }
 
@@ -200,7 +200,7 @@
     fn is_fresh_enough(&self, within_ms: u64) -> bool {
         let has_doubt = self.policy_freshness.lock().unwrap().has_unverified_restore();
         match has_doubt {
-            true => self.keys_are_good(),
+            true => self.are_keys_confirmed(),
             false => self.policy_is_fresh(within_ms),
         }
     }
@@ -222,7 +222,7 @@
     }
 
     /// Takes one retry from the service's budget; returns false if none is left.
-    pub(crate) fn may_repeat(&self, pool: &Name, repeat: RetryKind) -> bool {
+    pub(crate) fn try_spend_retry(&self, pool: &Name, repeat: RetryKind) -> bool {
         let now = self.clock.now();
         let entries = self.entries.lock().unwrap().current();
         self.with_budget(pool, |budget| budget.spend(now, entries, repeat))
@@ -239,7 +239,12 @@
         // Unlike for retries, the last known count is not used while no sidecar reports
         // one: the same sidecars report what the store holds, and speculative fetches
         // would overload its link.
-        store.may_move(now, tokens, &upstream.place, self.entries_seen(now))
+        store.try_reserve_transfer(
+            now,
+            tokens,
+            &upstream.data_centre,
+            self.entries_seen(now),
+        )
     }
 
     /// Returns the number of entries, if any sidecar reports it.
@@ -270,35 +275,35 @@
     }
 
     /// Applies one record of the list of upstreams.
-    pub fn list(&self, listed: &Listing) {
-        let ended = self.upstreams.put(listed);
+    pub fn apply_listing(&self, listed: &Listing) {
+        let ended = self.upstreams.apply_listing(listed);
         ended.iter().for_each(|ended| self.on_incarnation_end(ended));
     }
 
     /// Applies a state update from the sidecar of an upstream.
-    pub fn hear(&self, id: &Name, state: UpstreamState) {
+    pub fn apply_sidecar_state(&self, id: &Name, state: UpstreamState) {
         let now = self.clock.now();
         self.entries.lock().unwrap().record_report(now, state.entries as usize);
-        let ended = self.upstreams.feed(id, state, now);
+        let ended = self.upstreams.apply_state(id, state, now);
         ended.iter().for_each(|ended| self.on_incarnation_end(ended));
     }
 
     /// Applies a change of an upstream's cache, if it is from the current incarnation.
-    pub fn note_cache(&self, id: &Name, change: &CacheChange) {
+    pub fn apply_cache_change(&self, id: &Name, change: &CacheChange) {
         let now = self.clock.now();
-        if self.upstreams.cache_change(id, change, now) {
+        if self.upstreams.apply_cache_change(id, change, now) {
             if let Some(upstream) = self.upstreams.get(id) {
-                self.note_readings(&upstream, &change.reading, now);
+                self.record_prefills(&upstream, &change.reading, now);
             }
-            self.note_read(&change.added);
-            self.stores.note_read(id, &change.added, now);
+            self.record_prefills_done(&change.added);
+            self.stores.record_prefilled(id, &change.added, now);
         }
     }
 
     /// Discards the state of an incarnation that has ended.
     fn on_incarnation_end(&self, ended: &Upstream) {
         // Parts that it was to save to the prompt store may never have been sent.
-        self.stores.forget_giver(&ended.id);
+        self.stores.forget_writer(&ended.id);
         self.connections.close_idle_to(ended.address);
         log::info!(target: "upstream", upstream = ended.id.as_str(); "started again");
     }
--- a/crates/bilberry-gateway/src/hubs.rs
+++ b/crates/bilberry-gateway/src/hubs.rs
@@ -69,7 +69,7 @@
         questions: mpsc::Sender<HubQuestion>,
     ) -> HubRegistration<'_> {
         let candidate =
-            HubCandidate { place: upstream.place.clone(), seed: upstream.seed };
+            HubCandidate { place: upstream.data_centre.clone(), seed: upstream.seed };
         self.links.lock().unwrap().insert(address, HubLink { candidate, questions });
         HubRegistration { hubs: self, address }
     }
@@ -93,7 +93,8 @@
     /// entries.
     pub async fn ask_hub(&self, ask: WatchRequest, until: UnixMs) -> HubReply {
         let entries = self.entries.lock().unwrap().current().unwrap_or_default();
-        let Some(questions) = self.hubs.choose(&self.settings.place, entries) else {
+        let Some(questions) = self.hubs.choose(&self.settings.data_centre, entries)
+        else {
             return HubReply::NoHub;
         };
         let (reply, answered) = oneshot::channel();
--- a/crates/bilberry-gateway/src/known_crashes.rs
+++ b/crates/bilberry-gateway/src/known_crashes.rs
@@ -121,7 +121,7 @@
     /// Returns the notices that are sent to a sidecar when it connects.
     pub(crate) fn notices(&self, now: UnixMs) -> Vec<CrashNotice> {
         let reports = self.ledger.lock().unwrap().reports_on_suspects(now);
-        CrashNotice::of(&reports).collect()
+        CrashNotice::batches(&reports).collect()
     }
 
     fn void_crashes_of_served(
--- a/crates/bilberry-gateway/src/listing.rs
+++ b/crates/bilberry-gateway/src/listing.rs
@@ -16,7 +16,7 @@
     /// Its address.
     pub address: SocketAddr,
     /// Its data centre.
-    pub place: Name,
+    pub data_centre: Name,
     /// The number of requests that it runs concurrently.
     pub slots: u64,
     /// Whether it is leaving: it completes its runs and takes no new ones.
--- a/crates/bilberry-gateway/src/missing_weights.rs
+++ b/crates/bilberry-gateway/src/missing_weights.rs
@@ -35,7 +35,12 @@
     /// Records the result of a connection attempt to the sidecar of a host.
     ///
     /// A timeout is ignored, as the host may be partitioned or suspended.
-    pub fn note<T>(&self, host: IpAddr, connected: &io::Result<T>, now: UnixMs) {
+    pub fn record_connect<T>(
+        &self,
+        host: IpAddr,
+        connected: &io::Result<T>,
+        now: UnixMs,
+    ) {
         let mut by_host = self.by_host.lock().unwrap();
         match connected {
             Ok(_) => {
@@ -98,7 +103,7 @@
 
     /// Returns the first model of which an engine without a sidecar lacks the newest
     /// weights.
-    pub fn lacking(&self, upstream: &Arc<Upstream>) -> Option<MissingWeights> {
+    pub fn missing_weights(&self, upstream: &Arc<Upstream>) -> Option<MissingWeights> {
         let now = self.clock.now();
         let lacking = |(model, version): (Name, u64)| {
             let lacking_ms = self.weights.lacking_ms(&model, Some(version), now)?;
--- a/crates/bilberry-gateway/src/placement.rs
+++ b/crates/bilberry-gateway/src/placement.rs
@@ -32,45 +32,45 @@
     /// Waits for an upstream with capacity and reserves it.
     pub(crate) async fn acquire_seat(
         &self,
-        job: &mut RequestContext,
+        context: &mut RequestContext,
     ) -> Result<Reservation, Refusal> {
         let began = self.clock.now();
-        let max_wait_ms = job.deadline.ms_since(began) / WAIT_DIVISOR;
+        let max_wait_ms = context.deadline.ms_since(began) / WAIT_DIVISOR;
         let until = began.plus_ms(max_wait_ms);
-        let seat = loop {
+        let reservation = loop {
             // Created before the check, so that no change in between is missed.
             let changed = self.upstreams.changed.notified();
             let checked_at = self.clock.now();
             let mut retry_ms = PLACEMENT_RETRY_MS;
             let mut waits_for_parts = false;
-            if let Some(choice) = self.choose(job) {
-                let Some(read_by) = self.awaits_until(job, &choice) else {
-                    break Ok(self.take_seat(job, choice));
+            if let Some(choice) = self.choose(context) {
+                let Some(read_by) = self.prefill_wait_deadline(context, &choice) else {
+                    break Ok(self.take_seat(context, choice));
                 };
                 retry_ms = read_by.ms_since(checked_at);
                 waits_for_parts = true;
             }
             let now = self.clock.now();
-            let has_none = self.upstreams.is_listed()
-                && self.upstreams.of(&job.pool.name).is_empty();
-            let is_paused = self.all_paused_until(&job.pool.name, now);
+            let has_none = self.upstreams.is_list_complete()
+                && self.upstreams.of(&context.pool.name).is_empty();
+            let is_paused = self.all_paused_until(&context.pool.name, now);
             let is_paused = is_paused.is_some_and(|paused_until| paused_until > until);
             if until.has_passed_at(now) || has_none || is_paused {
                 break Err(Refusal::NoCapacity);
             }
-            if self.all_weights_barred(job, until, now) {
+            if self.all_weights_barred(context, until, now) {
                 break Err(Refusal::NoWeights);
             }
             let wait_ms = until.ms_since(now).min(retry_ms).max(1);
             let _ = timeout(Duration::from_millis(wait_ms), changed).await;
             if waits_for_parts {
-                job.waited_for_parts_ms += self.clock.now().ms_since(checked_at);
+                context.waited_for_parts_ms += self.clock.now().ms_since(checked_at);
             }
         };
         let waited_ms = self.clock.now().ms_since(began);
-        job.waited_ms += waited_ms;
+        context.waited_ms += waited_ms;
         self.metrics.wait_seconds.observe(waited_ms as f64 / 1_000.0);
-        seat
+        reservation
     }
 
     /// Returns when the first upstream of a service ends its pause, if all of them have
@@ -91,12 +91,12 @@
     /// weights.
     fn all_weights_barred(
         &self,
-        job: &RequestContext,
+        context: &RequestContext,
         until: UnixMs,
         now: UnixMs,
     ) -> bool {
-        let Some(model) = &job.call.model else { return false };
-        let upstreams = self.upstreams.of(&job.pool.name);
+        let Some(model) = &context.call.model else { return false };
+        let upstreams = self.upstreams.of(&context.pool.name);
         let mut not_leaving = upstreams.iter().filter(|upstream| !upstream.is_leaving());
         let is_barred = |upstream: &Arc<Upstream>| {
             let version = upstream.weights(model, now);
@@ -115,35 +115,35 @@
         now: UnixMs,
     ) -> WeightsStatus {
         let lacking_ms = self.weights.lacking_ms(model, version, now);
-        WeightsStatus::classify(lacking_ms, self.settings.weights_bound_ms)
+        WeightsStatus::classify(lacking_ms, self.settings.outdated_weights_max_ms)
     }
 
     /// Chooses an upstream with capacity, if there is one.
-    fn choose(&self, job: &mut RequestContext) -> Option<Placement> {
+    fn choose(&self, context: &mut RequestContext) -> Option<Placement> {
         let now = self.clock.now();
         // The request waits until its quarantine takes effect or is lifted.
-        if self.crashes.is_quarantine_pending(job.key, now) {
+        if self.crashes.is_quarantine_pending(context.key, now) {
             return None;
         }
-        let upstreams = self.upstreams.of(&job.pool.name);
-        self.update_outage(&job.pool.name, &upstreams, now);
-        let model = job.call.model.clone().unwrap_or_default();
-        let needs_weights = job.call.model.is_some() && job.pool.engine.is_some();
-        let can_fetch = self.stores.any_answers();
-        let demand = job.demand(can_fetch, self.pace.token_us(&job.pool.name));
+        let upstreams = self.upstreams.of(&context.pool.name);
+        self.update_outage(&context.pool.name, &upstreams, now);
+        let model = context.call.model.clone().unwrap_or_default();
+        let needs_weights = context.call.model.is_some() && context.pool.engine.is_some();
+        let can_fetch = self.stores.any_reachable();
+        let demand = context.demand(can_fetch, self.speed.token_us(&context.pool.name));
         let mut versions = Vec::with_capacity(upstreams.len());
         let mut offers: Vec<PlacementCandidate> = upstreams
             .iter()
             .map(|upstream| {
                 let mut offer =
-                    upstream.offer(now, &self.settings.place, job.pool.engine);
-                offer.usable &= !job.has_tried(upstream);
+                    upstream.offer(now, &self.settings.data_centre, context.pool.engine);
+                offer.usable &= !context.has_tried(upstream);
                 let version = upstream.weights(&model, now);
                 offer.weights = self.classify_weights(version, &model, now);
                 match version {
                     Some(version) => {
                         offer.cached_tokens =
-                            job.keys(version).cached_tokens(upstream, now);
+                            context.keys(version).cached_tokens(upstream, now);
                     }
                     // Without a version there is no salt, and the cached prompt would be
                     // shared between all customers and all versions.
@@ -153,11 +153,11 @@
                 offer
             })
             .collect();
-        if self.is_suspect(job) {
+        if self.is_suspect(context) {
             keep_least_loaded(&mut offers);
         }
         let index = choose_upstream(&demand, &offers)?;
-        let version = versions[index].filter(|_| job.call.model.is_some());
+        let version = versions[index].filter(|_| context.call.model.is_some());
         let same_weights =
             offers.iter().zip(&versions).filter(|(_, other)| **other == version);
         let cached_tokens = same_weights.map(|(offer, _)| offer.cached_tokens).max();
@@ -170,19 +170,19 @@
     }
 
     fn update_outage(&self, pool: &Name, upstreams: &[Arc<Upstream>], now: UnixMs) {
-        let any_alive = upstreams.iter().any(|upstream| upstream.lives(now));
+        let any_alive = upstreams.iter().any(|upstream| upstream.is_alive(now));
         let mut outages = self.outages.lock().unwrap();
         outages.entry(pool.clone()).or_default().record(now, any_alive);
     }
 
     /// Reserves capacity at the chosen upstream.
-    fn take_seat(&self, job: &mut RequestContext, choice: Placement) -> Reservation {
+    fn take_seat(&self, context: &mut RequestContext, choice: Placement) -> Reservation {
         let Placement { upstream, demand, weights, .. } = choice;
-        let model = job.call.model.clone().unwrap_or_default();
-        job.weights = weights;
-        job.weights_outdated_ms =
+        let model = context.call.model.clone().unwrap_or_default();
+        context.weights = weights;
+        context.weights_outdated_ms =
             self.weights.lacking_ms(&model, weights, self.clock.now());
-        if job.weights_outdated_ms.is_some() {
+        if context.weights_outdated_ms.is_some() {
             self.metrics.placed_on_older_weights.inc();
         }
         let missing = demand.shared_tokens + demand.own_tokens;
--- a/crates/bilberry-gateway/src/plain_response.rs
+++ b/crates/bilberry-gateway/src/plain_response.rs
@@ -37,23 +37,23 @@
     /// Buffers a plain response, in full unless it is too large; fails if it is cut off.
     pub(crate) async fn buffer_response(
         self: &Arc<Self>,
-        job: &mut RequestContext,
+        context: &mut RequestContext,
         mut response: UpstreamResponse,
     ) -> Result<PlainResponse, Refusal> {
-        self.record_prompt_read(job, &mut response.seat);
-        let left = job.deadline.remaining(self.clock.now());
+        self.record_prompt_read(context, &mut response.reservation);
+        let left = context.deadline.remaining(self.clock.now());
         let mut read = BytesMut::new();
         let reading = buffer_body(&mut response, &mut read);
         let is_complete = match timeout(left, reading).await {
             Ok(Ok(is_complete)) => is_complete,
             Ok(Err(error)) => {
-                self.record_interrupted_run(job, &response.seat.upstream);
-                job.detail = format!("the response was cut off: {error}");
+                self.record_interrupted_run(context, &response.reservation.upstream);
+                context.detail = format!("the response was cut off: {error}");
                 return Err(Refusal::OutcomeUnknown);
             }
             Err(_) => return Err(Refusal::DeadlinePassed),
         };
-        self.note_first_byte(job);
+        self.note_first_byte(context);
         let buffered = read.freeze();
         if !is_complete {
             return Ok(PlainResponse::Partial(response, buffered));
@@ -70,7 +70,7 @@
     /// As it is not buffered in full, the caller's response is cut off if this one is.
     pub(crate) fn stream_partial(
         self: Arc<Self>,
-        job: RequestContext,
+        context: RequestContext,
         mut response: UpstreamResponse,
         buffered: Bytes,
     ) -> Response<OutBody> {
@@ -79,11 +79,12 @@
         let body = OutBody::Stream(body);
         let started = self.caller_response(response.http.status(), head, body);
         tokio::spawn(async move {
-            let ended = self.stream_body(&job, &mut response, buffered, &pieces).await;
+            let ended =
+                self.stream_body(&context, &mut response, buffered, &pieces).await;
             if ended == BodyEnd::CallerLeft {
-                self.record_abandoned_run(&job);
+                self.record_abandoned_run(&context);
             }
-            self.record_outcome(&job, ended.outcome());
+            self.record_outcome(&context, ended.outcome());
             if ended == BodyEnd::Complete {
                 self.keep_connection(response);
                 let _ = pieces.send(BodyPiece::End).await;
@@ -94,7 +95,7 @@
 
     async fn stream_body(
         self: &Arc<Self>,
-        job: &RequestContext,
+        context: &RequestContext,
         response: &mut UpstreamResponse,
         buffered: Bytes,
         pieces: &mpsc::Sender<BodyPiece>,
@@ -104,7 +105,7 @@
             if pieces.send(BodyPiece::Data(next)).await.is_err() {
                 return BodyEnd::CallerLeft;
             }
-            let left = job.deadline.remaining(self.clock.now());
+            let left = context.deadline.remaining(self.clock.now());
             let frame = tokio::select! {
                 frame = response.http.body_mut().frame() => frame,
                 _ = pieces.closed() => return BodyEnd::CallerLeft,
@@ -113,7 +114,7 @@
             next = match frame {
                 None => return BodyEnd::Complete,
                 Some(Err(_)) => {
-                    self.record_interrupted_run(job, &response.seat.upstream);
+                    self.record_interrupted_run(context, &response.reservation.upstream);
                     return BodyEnd::Broken("cut off");
                 }
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
--- a/crates/bilberry-gateway/src/policy.rs
+++ b/crates/bilberry-gateway/src/policy.rs
@@ -89,7 +89,7 @@
     /// Its address.
     pub address: SocketAddr,
     /// Its data centre, if configured.
-    pub place: Option<Name>,
+    pub data_centre: Option<Name>,
     /// The capacity of its link, if configured.
     pub link_mbps: Option<f64>,
 }
--- a/crates/bilberry-gateway/src/pool_summary.rs
+++ b/crates/bilberry-gateway/src/pool_summary.rs
@@ -140,7 +140,8 @@
     now: UnixMs,
 ) -> BTreeMap<String, u64> {
     let eligible = upstreams.iter();
-    let eligible = eligible.filter(|peer| peer.is_followed(now) && !peer.is_leaving());
+    let eligible =
+        eligible.filter(|peer| peer.has_current_feed(now) && !peer.is_leaving());
     let seeds: Vec<u64> = eligible.map(|peer| peer.seed).collect();
     let followers = stores.iter().filter_map(|store| {
         let at = highest_ranked(store.seed, &seeds)?;
--- a/crates/bilberry-gateway/src/prompt_stores.rs
+++ b/crates/bilberry-gateway/src/prompt_stores.rs
@@ -43,7 +43,7 @@
     /// A hash of its address.
     pub seed: u64,
     /// The parts that it is assumed to hold.
-    pub kept: StoreContents,
+    pub contents: StoreContents,
     /// The capacity of its link in tokens per second, if configured.
     link_tokens_per_s: Option<f64>,
     link: Mutex<LinkBudget>,
@@ -54,7 +54,7 @@
 impl PromptStores {
     /// Replaces the stores by those of a configuration; a store with unchanged settings
     /// keeps its state.
-    pub fn name(&self, policy: &Policy) {
+    pub fn configure(&self, policy: &Policy) {
         let mut by_address = self.by_address.lock().unwrap();
         let configured = policy.prompt_stores().map(|terms| {
             let link_tokens_per_s = policy.store_tokens_per_s(terms);
@@ -88,7 +88,7 @@
     }
 
     /// Reports whether any store answers.
-    pub fn any_answers(&self) -> bool {
+    pub fn any_reachable(&self) -> bool {
         self.by_address.lock().unwrap().values().any(|store| store.answers())
     }
 
@@ -108,15 +108,15 @@
     ///
     /// Recorded for all stores, until a sidecar reports their contents. This is harmless,
     /// as a part that is deep in a prompt is only requested from its home store.
-    pub fn note_read(&self, writer: &Name, keys: &[u64], now: UnixMs) {
+    pub fn record_prefilled(&self, writer: &Name, keys: &[u64], now: UnixMs) {
         for store in self.all() {
-            keys.iter().for_each(|&key| store.kept.record_write(writer, key, now));
+            keys.iter().for_each(|&key| store.contents.record_write(writer, key, now));
         }
     }
 
     /// Discards the writes of an upstream that has restarted.
-    pub fn forget_giver(&self, writer: &str) {
-        self.all().iter().for_each(|store| store.kept.forget_writer(writer));
+    pub fn forget_writer(&self, writer: &str) {
+        self.all().iter().for_each(|store| store.contents.forget_writer(writer));
     }
 
     /// Applies a change of a store's contents that a sidecar reports.
@@ -127,7 +127,7 @@
         };
         let store = self.by_address.lock().unwrap().get(&address).cloned();
         if let (Some(store), Some(change)) = (store, &report.change) {
-            store.kept.apply_report(reporter, change);
+            store.contents.apply_report(reporter, change);
         }
     }
 
@@ -135,7 +135,7 @@
     pub fn forget_reporter(&self, reporter: &str, followed: &[String]) {
         for store in self.all() {
             if !followed.contains(&store.terms.address.to_string()) {
-                store.kept.forget_reporter(reporter);
+                store.contents.forget_reporter(reporter);
             }
         }
     }
@@ -151,7 +151,7 @@
         Self {
             seed: xxh3_64(terms.address.to_string().as_bytes()),
             terms,
-            kept: StoreContents::default(),
+            contents: StoreContents::default(),
             link_tokens_per_s,
             link: Mutex::default(),
             answers: AtomicBool::new(false),
@@ -165,9 +165,9 @@
     }
 
     /// Sets whether it answers; a store that does not is assumed to come back empty.
-    pub fn set_answers(&self, answers: bool) {
+    pub fn set_reachable(&self, answers: bool) {
         if !answers {
-            self.kept.clear();
+            self.contents.clear();
         }
         if self.answers.swap(answers, Ordering::Relaxed) != answers {
             self.answering_changed.notify_one();
@@ -176,7 +176,7 @@
 
     /// Claims a transfer in this entry's share of the store's link; returns whether it
     /// fits.
-    pub fn may_move(
+    pub fn try_reserve_transfer(
         &self,
         now: UnixMs,
         tokens: u64,
@@ -185,7 +185,7 @@
     ) -> bool {
         // A link without a configured capacity is not limited.
         let Some(tokens_per_s) = self.link_tokens_per_s else { return true };
-        let same_data_centre = self.terms.place.as_ref() == Some(place);
+        let same_data_centre = self.terms.data_centre.as_ref() == Some(place);
         let transfer = Transfer { tokens, same_data_centre };
         self.link.lock().unwrap().try_take(now, transfer, tokens_per_s, entries)
     }
--- a/crates/bilberry-gateway/src/readings.rs
+++ b/crates/bilberry-gateway/src/readings.rs
@@ -25,45 +25,47 @@
 impl<D: Dialect, C: Clock> Gateway<D, C> {
     /// Returns until when a request waits for a shared part that another request
     /// prefills, if waiting is worthwhile.
-    pub(crate) fn awaits_until(
+    pub(crate) fn prefill_wait_deadline(
         &self,
-        job: &mut RequestContext,
+        context: &mut RequestContext,
         choice: &Placement,
     ) -> Option<UnixMs> {
         let weights = choice.weights?;
         let now = self.clock.now();
-        let most_ms = max_part_wait_ms(job.route.target_ms);
+        let most_ms = max_part_wait_ms(context.route.target_ms);
         let until =
-            *job.waits_for_parts_until.get_or_insert_with(|| now.plus_ms(most_ms));
+            *context.prefix_wait_until.get_or_insert_with(|| now.plus_ms(most_ms));
         if until.has_passed_at(now) {
             return None;
         }
-        let keys = job.keys(weights);
-        let store = self.stores.home(job.affinity());
-        let stored_tokens = store.map_or(0, |store| keys.stored_tokens(&store.kept, now));
+        let keys = context.keys(weights);
+        let store = self.stores.home(context.affinity());
+        let stored_tokens =
+            store.map_or(0, |store| keys.stored_tokens(&store.contents, now));
         let known_tokens = choice.cached_tokens.max(stored_tokens);
         let (part, end) = keys.parts_after(known_tokens).next()?;
         let readings = self.readings.lock().unwrap();
-        let read_ms = self.pace.read_ms(&job.pool.name, end - known_tokens);
+        let read_ms = self.speed.prefill_ms(&context.pool.name, end - known_tokens);
         let reading = readings.prefill_to_await(part, read_ms, now)?;
         let reader = self.upstreams.get(&reading.upstream)?;
-        reader.lives(now).then(|| reading.expected_end.min(until))
+        reader.is_alive(now).then(|| reading.expected_end.min(until))
     }
 
     /// Records the parts beyond `supplied_tokens` that a request prefills at its
     /// upstream, and notifies the other entries through the upstream's sidecar.
-    pub(crate) fn begin_reading(
+    pub(crate) fn begin_prefill(
         &self,
-        job: &mut RequestContext,
-        seat: &Reservation,
+        context: &mut RequestContext,
+        reservation: &Reservation,
         supplied_tokens: u64,
     ) {
-        let Some(weights) = job.weights else { return };
+        let Some(weights) = context.weights else { return };
         let now = self.clock.now();
-        let tokens_ahead = seat.pending_tokens_ahead();
-        let keys = job.keys(weights);
+        let tokens_ahead = reservation.pending_tokens_ahead();
+        let keys = context.keys(weights);
         let done_in_ms = |tokens: u64| {
-            self.pace.read_ms(&job.pool.name, tokens_ahead + tokens) + READING_SLACK_MS
+            self.speed.prefill_ms(&context.pool.name, tokens_ahead + tokens)
+                + READING_SLACK_MS
         };
         let begun: Vec<PrefillNotice> = keys
             .parts_after(supplied_tokens)
@@ -74,37 +76,44 @@
             .collect();
         let parts = begun.iter().map(|begun| begun.part).collect();
         let tokens =
-            tokens_ahead + job.call.prompt_tokens.saturating_sub(supplied_tokens);
-        job.reads = Some(PrefillPlan { parts, tokens, since: now });
+            tokens_ahead + context.call.prompt_tokens.saturating_sub(supplied_tokens);
+        context.prefill = Some(PrefillPlan { parts, tokens, since: now });
         if begun.is_empty() {
             return;
         }
-        self.note_readings(&seat.upstream, &begun, now);
-        let born_ms = incarnation_start_ms(seat);
-        let notice = ReadingNotice { begun, born_ms, ..ReadingNotice::default() };
-        send_notice(seat, notice);
+        self.record_prefills(&reservation.upstream, &begun, now);
+        let started_at_ms = incarnation_start_ms(reservation);
+        let notice = ReadingNotice { begun, started_at_ms, ..ReadingNotice::default() };
+        send_notice(reservation, notice);
     }
 
     /// Records that the parts which a request prefilled are in its upstream's cache.
-    pub(crate) fn end_reading(&self, job: &mut RequestContext, seat: &Reservation) {
-        let Some(reads) = job.reads.take() else { return };
-        let took_ms = self.clock.now().ms_since(reads.since);
-        self.pace.note_read(&job.pool.name, reads.tokens, took_ms);
-        if reads.parts.is_empty() {
+    pub(crate) fn end_prefill(
+        &self,
+        context: &mut RequestContext,
+        reservation: &Reservation,
+    ) {
+        let Some(prefill) = context.prefill.take() else { return };
+        let took_ms = self.clock.now().ms_since(prefill.since);
+        self.speed.record_prefill(&context.pool.name, prefill.tokens, took_ms);
+        if prefill.parts.is_empty() {
             return;
         }
-        self.note_read(&reads.parts);
-        let born_ms = incarnation_start_ms(seat);
-        let notice =
-            ReadingNotice { read: reads.parts, born_ms, ..ReadingNotice::default() };
-        send_notice(seat, notice);
+        self.record_prefills_done(&prefill.parts);
+        let started_at_ms = incarnation_start_ms(reservation);
+        let notice = ReadingNotice {
+            read: prefill.parts,
+            started_at_ms,
+            ..ReadingNotice::default()
+        };
+        send_notice(reservation, notice);
     }
 
     /// Records the parts that an upstream prefills.
     ///
     /// A part counts as held there from its predicted completion on. The start of the
     /// answer would be too late, as the rest of the prompt is prefilled before it.
-    pub(crate) fn note_readings(
+    pub(crate) fn record_prefills(
         &self,
         upstream: &Upstream,
         begun: &[PrefillNotice],
@@ -121,7 +130,7 @@
     }
 
     /// Records parts whose prefill has ended.
-    pub(crate) fn note_read(&self, parts: &[u64]) {
+    pub(crate) fn record_prefills_done(&self, parts: &[u64]) {
         if parts.is_empty() {
             return;
         }
@@ -133,12 +142,15 @@
 }
 
 /// Sends a notice to the sidecar; the engine's own events report the same later.
-fn send_notice(seat: &Reservation, notice: ReadingNotice) {
-    if !seat.upstream.send_to_sidecar(Body::ReadingNotice(notice)) {
-        log::debug!("cannot report a prefill at {} to its sidecar", seat.upstream.id);
+fn send_notice(reservation: &Reservation, notice: ReadingNotice) {
+    if !reservation.upstream.send_to_sidecar(Body::ReadingNotice(notice)) {
+        log::debug!(
+            "cannot report a prefill at {} to its sidecar",
+            reservation.upstream.id
+        );
     }
 }
 
-fn incarnation_start_ms(seat: &Reservation) -> Option<u64> {
-    seat.upstream.incarnation().map(|incarnation| incarnation.started_at.0)
+fn incarnation_start_ms(reservation: &Reservation) -> Option<u64> {
+    reservation.upstream.incarnation().map(|incarnation| incarnation.started_at.0)
 }
--- a/crates/bilberry-gateway/src/relay.rs
+++ b/crates/bilberry-gateway/src/relay.rs
@@ -61,7 +61,7 @@
 /// but still finishes its runs. When the sidecar's report alone was enough, at-most-once
 /// streams were cut off and lost.
 async fn wait_until_lost(upstream: &Upstream) {
-    upstream.lost().await;
+    upstream.wait_until_lost().await;
     sleep(LOST_GRACE).await;
 }
 
@@ -86,7 +86,7 @@
     /// Relays a stream as it arrives and resumes it where allowed.
     pub(crate) fn relay(
         self: Arc<Self>,
-        mut job: RequestContext,
+        mut context: RequestContext,
         response: UpstreamResponse,
     ) -> Response<OutBody> {
         let (pieces, body) = mpsc::channel(BODY_CHANNEL_CAPACITY);
@@ -96,13 +96,13 @@
             OutBody::Stream(body),
         );
         tokio::spawn(async move {
-            let ended = self.relay_stream(&mut job, response, &pieces).await;
+            let ended = self.relay_stream(&mut context, response, &pieces).await;
             if ended == BodyEnd::CallerLeft {
-                self.record_abandoned_run(&job);
+                self.record_abandoned_run(&context);
             }
-            self.record_outcome(&job, ended.outcome());
+            self.record_outcome(&context, ended.outcome());
             if ended == BodyEnd::Complete {
-                self.record_pace(&job);
+                self.record_pace(&context);
                 // Without this final piece the caller's connection is closed, which
                 // tells the caller that its stream is incomplete.
                 let _ = pieces.send(BodyPiece::End).await;
@@ -113,15 +113,16 @@
 
     async fn relay_stream(
         self: &Arc<Self>,
-        job: &mut RequestContext,
+        context: &mut RequestContext,
         response: UpstreamResponse,
         pieces: &mpsc::Sender<BodyPiece>,
     ) -> BodyEnd {
         let mut splitter = EventSplitter::new();
         let mut response = response;
         loop {
-            let relay_end =
-                self.relay_from_upstream(job, &mut response, &mut splitter, pieces).await;
+            let relay_end = self
+                .relay_from_upstream(context, &mut response, &mut splitter, pieces)
+                .await;
             let (reason, first_run_end) = match relay_end {
                 RelayEnd::Interrupted { reason, first_run_end } => {
                     (reason, first_run_end)
@@ -132,20 +133,20 @@
                 }
                 RelayEnd::Finished(ended) => return ended,
             };
-            let upstream = response.seat.upstream.clone();
+            let upstream = response.reservation.upstream.clone();
             upstream.record_failure(self.clock.now());
             if reason != SILENT_RUN_ENDED && reason != SILENT {
-                self.record_interrupted_run(job, &upstream);
+                self.record_interrupted_run(context, &upstream);
             }
-            job.runs += 1;
-            job.detail = reason.to_string();
+            context.runs += 1;
+            context.detail = reason.to_string();
             // Close the connection before another upstream resumes the stream: this ends
             // a repeatable run. It does not prove that the run ended, as a suspended
             // upstream does not notice the close.
             drop(response);
             splitter.drop_partial();
             let resumed = tokio::select! {
-                next = self.resume(job, &splitter, &upstream, first_run_end) => next,
+                next = self.resume(context, &splitter, &upstream, first_run_end) => next,
                 _ = pieces.closed() => return BodyEnd::CallerLeft,
             };
             match resumed {
@@ -158,24 +159,24 @@
     /// Resumes a stream on another upstream after the last complete event.
     async fn resume(
         self: &Arc<Self>,
-        job: &mut RequestContext,
+        context: &mut RequestContext,
         splitter: &EventSplitter,
         upstream: &Arc<Upstream>,
         first_run_end: Option<FirstRunEnd>,
     ) -> Option<UpstreamResponse> {
-        if job.route.kind == CallKind::NonRepeatableStream {
+        if context.route.kind == CallKind::NonRepeatableStream {
             let last_event = splitter.last_id();
             return self
-                .resume_from_backup(job, last_event, upstream, first_run_end)
+                .resume_from_backup(context, last_event, upstream, first_run_end)
                 .await;
         }
-        if !self.may_run_after(job, job.runs)
-            || !self.may_repeat(&job.pool.name, RetryKind::Resume)
+        if !self.may_run_after(context, context.runs)
+            || !self.try_spend_retry(&context.pool.name, RetryKind::Resume)
         {
             return None;
         }
-        job.call.last_event = splitter.last_id().or(job.call.last_event);
-        let response = self.forward(job).await.ok()?;
+        context.call.last_event = splitter.last_id().or(context.call.last_event);
+        let response = self.forward(context).await.ok()?;
         if response.http.status() != StatusCode::OK {
             return None;
         }
@@ -185,24 +186,24 @@
 
     async fn relay_from_upstream(
         &self,
-        job: &mut RequestContext,
+        context: &mut RequestContext,
         response: &mut UpstreamResponse,
         splitter: &mut EventSplitter,
         pieces: &mpsc::Sender<BodyPiece>,
     ) -> RelayEnd {
         let silence_ms =
-            job.route.gap_ms.map_or(DEFAULT_SILENCE_MS, |g| g * SILENCE_GAP_FACTOR);
-        let silence = Duration::from_millis(silence_ms.max(job.route.target_ms * 2));
-        let upstream = response.seat.upstream.clone();
+            context.route.gap_ms.map_or(DEFAULT_SILENCE_MS, |g| g * SILENCE_GAP_FACTOR);
+        let silence = Duration::from_millis(silence_ms.max(context.route.target_ms * 2));
+        let upstream = response.reservation.upstream.clone();
         let is_framed = is_framed(response.http.headers());
-        let run_takeover = self.run_takeover(job, &upstream);
+        let run_takeover = self.run_takeover(context, &upstream);
         let run = run_takeover.as_ref();
         let run_end = Fuse::terminated();
         tokio::pin!(run_end);
         let mut has_started = false;
         loop {
-            let may_resume = self.may_run_after(job, job.runs + 1);
-            let left = job.deadline.remaining(self.clock.now());
+            let may_resume = self.may_run_after(context, context.runs + 1);
+            let left = context.deadline.remaining(self.clock.now());
             let frame = tokio::select! {
                 frame = response.http.body_mut().frame() => frame,
                 _ = pieces.closed() => return RelayEnd::Finished(BodyEnd::CallerLeft),
@@ -236,11 +237,11 @@
             if !was_asked {
                 run_end.set(Fuse::terminated());
             }
-            if job.first_byte_ms.is_none() {
-                self.note_first_byte(job);
+            if context.first_byte_ms.is_none() {
+                self.note_first_byte(context);
             }
             if !std::mem::replace(&mut has_started, true) {
-                self.record_prompt_read(job, &mut response.seat);
+                self.record_prompt_read(context, &mut response.reservation);
             }
             let Some(events) = splitter.push(&bytes) else { continue };
             if pieces.send(BodyPiece::Data(events)).await.is_err() {
@@ -260,7 +261,7 @@
         silence: Duration,
     ) -> &'r RunTakeover {
         let Some(run) = run else { return std::future::pending().await };
-        let is_followed = || run.upstream.is_followed(self.clock.now());
+        let is_followed = || run.upstream.has_current_feed(self.clock.now());
         loop {
             tokio::select! {
                 _ = sleep(silence) => match is_followed() {
@@ -284,16 +285,20 @@
     /// Returns the connection of a complete response to the pool, unless its upstream has
     /// restarted: what is recorded of the new incarnation must not come from the old one.
     pub(crate) fn keep_connection(&self, response: UpstreamResponse) {
-        let UpstreamResponse { http, connection, seat } = response;
-        if !seat.upstream.has_ended() {
+        let UpstreamResponse { http, connection, reservation } = response;
+        if !reservation.upstream.has_ended() {
             self.connections.put_idle(connection, http.headers());
         }
     }
 
-    fn record_pace(&self, job: &RequestContext) {
-        let Some(first_byte_ms) = job.first_byte_ms else { return };
-        let took_ms = self.clock.now().ms_since(job.arrived_at) - first_byte_ms;
-        self.pace.note_answer(&job.pool.name, took_ms, job.call.output_tokens);
+    fn record_pace(&self, context: &RequestContext) {
+        let Some(first_byte_ms) = context.first_byte_ms else { return };
+        let took_ms = self.clock.now().ms_since(context.arrived_at) - first_byte_ms;
+        self.speed.record_response(
+            &context.pool.name,
+            took_ms,
+            context.call.output_tokens,
+        );
     }
 }
 
@@ -341,6 +346,6 @@
 }
 
 /// Reports whether a response is an event stream.
-pub(crate) fn is_stream(job: &RequestContext, response: &Response<Incoming>) -> bool {
-    job.route.kind.is_stream() && response.status().is_success()
+pub(crate) fn is_stream(context: &RequestContext, response: &Response<Incoming>) -> bool {
+    context.route.kind.is_stream() && response.status().is_success()
 }
--- a/crates/bilberry-gateway/src/request_context.rs
+++ b/crates/bilberry-gateway/src/request_context.rs
@@ -71,10 +71,10 @@
     pub prompt_keys: Vec<(u64, Arc<PromptKeys>)>,
     /// The shared parts that the upstream computes for it, once announced to other
     /// entries.
-    pub reads: Option<PrefillPlan>,
+    pub prefill: Option<PrefillPlan>,
     /// Until when it waits for shared parts that other requests compute, once it has
     /// begun to.
-    pub waits_for_parts_until: Option<UnixMs>,
+    pub prefix_wait_until: Option<UnixMs>,
     /// How long it waited for capacity and for parts that other requests compute.
     pub waited_ms: u64,
     /// The share of this time spent waiting for parts that other requests compute.
@@ -184,7 +184,7 @@
     }
 
     /// Returns the scheduling priority that is sent to upstreams, 0 being the first.
-    pub fn urgency(&self) -> u8 {
+    pub fn priority(&self) -> u8 {
         let own = self.customer.as_ref().and_then(|customer| customer.priority);
         own.unwrap_or(self.route.priority).min(9)
     }
--- a/crates/bilberry-gateway/src/request_log.rs
+++ b/crates/bilberry-gateway/src/request_log.rs
@@ -48,29 +48,29 @@
 }
 
 /// Writes the log line for the outcome of a request.
-pub fn log_outcome<C: Clock>(job: &RequestContext, outcome: &str, clock: &C) {
+pub fn log_outcome<C: Clock>(context: &RequestContext, outcome: &str, clock: &C) {
     let now = clock.now();
-    let tried: Vec<&str> = job.tried.iter().map(|tried| tried.id.as_str()).collect();
+    let tried: Vec<&str> = context.tried.iter().map(|tried| tried.id.as_str()).collect();
     log::info!(
         target: "request",
-        request = job.call.attempt.as_str(),
-        key = job.key.to_string().as_str(),
-        route = job.route.name.as_str(),
-        customer = job.customer.as_ref().map_or("", |customer| customer.name.as_str()),
-        config = job.config_version,
+        request = context.call.attempt.as_str(),
+        key = context.key.to_string().as_str(),
+        route = context.route.name.as_str(),
+        customer = context.customer.as_ref().map_or("", |customer| customer.name.as_str()),
+        config = context.config_version,
         tried = tried.join(",").as_str(),
-        sends = job.sends,
-        detail = job.detail.as_str(),
-        weights = job.weights.unwrap_or_default(),
-        lacking_ms = job.weights_outdated_ms.unwrap_or_default(),
-        waited_ms = job.waited_ms,
-        waited_for_parts_ms = job.waited_for_parts_ms,
-        shared_tokens = job.call.shared_tokens(),
-        supplied_tokens = job.supplied_tokens,
-        target_ms = job.route.target_ms,
-        first_byte_ms = job.first_byte_ms.unwrap_or_default(),
-        total_ms = now.ms_since(job.arrived_at),
-        left_ms = job.deadline.ms_since(now);
+        sends = context.sends,
+        detail = context.detail.as_str(),
+        weights = context.weights.unwrap_or_default(),
+        lacking_ms = context.weights_outdated_ms.unwrap_or_default(),
+        waited_ms = context.waited_ms,
+        waited_for_parts_ms = context.waited_for_parts_ms,
+        shared_tokens = context.call.shared_tokens(),
+        supplied_tokens = context.supplied_tokens,
+        target_ms = context.route.target_ms,
+        first_byte_ms = context.first_byte_ms.unwrap_or_default(),
+        total_ms = now.ms_since(context.arrived_at),
+        left_ms = context.deadline.ms_since(now);
         "{outcome}"
     );
 }
--- a/crates/bilberry-gateway/src/run_stop.rs
+++ b/crates/bilberry-gateway/src/run_stop.rs
@@ -164,7 +164,7 @@
     ) -> Option<FirstRunEnd> {
         let upstream = run.upstream.address;
         let attempt = run.attempt.clone();
-        let stop = StopCall { upstream, attempt, next: run.successor.address };
+        let stop = StopCall { upstream, attempt, successor: run.successor.address };
         run.stop_requested.store(true, Ordering::Relaxed);
         let response = connection.send(self.dialect.stop_call(&stop)).await.ok()?;
         let status = response.status();
--- a/crates/bilberry-gateway/src/serve.rs
+++ b/crates/bilberry-gateway/src/serve.rs
@@ -53,7 +53,7 @@
         self.policy().map(|policy| policy.limits.times)
     }
 
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
         let gateway = self.clone();
         let mut response = gateway.serve(request).await;
         if self.is_stopping() {
@@ -68,32 +68,36 @@
         let arrived_at = self.clock.now();
         let (head, body) = request.into_parts();
         let checked = self.decode_and_route(head, arrived_at);
-        let (policy, mut job) = match checked {
+        let (policy, mut context) = match checked {
             Ok(checked) => checked,
             Err((attempt, refusal)) => return self.refuse_early(&attempt, &refusal),
         };
-        job.body = match self.read_request_body(body, &policy, &job).await {
+        context.body = match self.read_request_body(body, &policy, &context).await {
             Ok(body) => body,
-            Err(refusal) => return self.refuse_early(&job.call.attempt, &refusal),
+            Err(refusal) => return self.refuse_early(&context.call.attempt, &refusal),
         };
-        job.key = job.compute_key();
-        if let Err(refusal) = self.check_quarantine(&job) {
-            return self.refuse(&job, &refusal);
+        context.key = context.compute_key();
+        if let Err(refusal) = self.check_quarantine(&context) {
+            return self.refuse(&context, &refusal);
         }
-        self.count_request(&job.pool.name);
-        let mut caller = CallerGuard { gateway: self.clone(), job: Some(job) };
+        self.count_request(&context.pool.name);
+        let mut caller = CallerGuard { gateway: self.clone(), context: Some(context) };
         let outcome = caller.serve().await;
-        let job = caller.job.take();
-        match (outcome, job) {
-            (ServeOutcome::Complete(response), Some(job)) => {
-                self.record_outcome(&job, "served");
+        let context = caller.context.take();
+        match (outcome, context) {
+            (ServeOutcome::Complete(response), Some(context)) => {
+                self.record_outcome(&context, "served");
                 response
             }
-            (ServeOutcome::Stream(response), Some(job)) => self.relay(job, response),
-            (ServeOutcome::Partial(response, buffered), Some(job)) => {
-                self.stream_partial(job, response, buffered)
+            (ServeOutcome::Stream(response), Some(context)) => {
+                self.relay(context, response)
+            }
+            (ServeOutcome::Partial(response, buffered), Some(context)) => {
+                self.stream_partial(context, response, buffered)
+            }
+            (ServeOutcome::Refused(refusal), Some(context)) => {
+                self.refuse(&context, &refusal)
             }
-            (ServeOutcome::Refused(refusal), Some(job)) => self.refuse(&job, &refusal),
             (_, None) => Refusal::NotReady.to_response(RETRY_AFTER_RANGE_MS.0),
         }
     }
@@ -128,7 +132,7 @@
         let route = route.cloned().ok_or(Refusal::NoRoute)?;
         let customer = match &policy.customers {
             Some(customers) if !route.public => {
-                if !self.keys_are_good() {
+                if !self.are_keys_confirmed() {
                     return Err(Refusal::KeysUnconfirmed);
                 }
                 let key = call.key.as_ref().ok_or(Refusal::UnknownKey)?;
@@ -139,9 +143,9 @@
         let target = route.target(xxh3_64(call.attempt.as_bytes()));
         let pool = target.and_then(|pool| policy.pools.get(pool)).cloned();
         let pool = pool.ok_or(Refusal::NoCapacity)?;
-        let patience_ms = call.patience_ms.unwrap_or(route.timeout_ms);
+        let patience_ms = call.timeout_ms.unwrap_or(route.timeout_ms);
         let deadline = arrived_at.plus_ms(patience_ms.min(route.timeout_ms));
-        let job = RequestContext {
+        let context = RequestContext {
             call,
             route,
             customer,
@@ -164,25 +168,25 @@
             weights: None,
             weights_outdated_ms: None,
             prompt_keys: Vec::new(),
-            reads: None,
-            waits_for_parts_until: None,
+            prefill: None,
+            prefix_wait_until: None,
             waited_ms: 0,
             waited_for_parts_ms: 0,
             supplied_tokens: 0,
             first_byte_ms: None,
             detail: String::new(),
         };
-        Ok((policy, job))
+        Ok((policy, context))
     }
 
     async fn read_request_body(
         &self,
         body: Incoming,
         policy: &Policy,
-        job: &RequestContext,
+        context: &RequestContext,
     ) -> Result<Bytes, Refusal> {
         let max_bytes = policy.limits.body_bytes;
-        let left_ms = job.deadline.ms_since(self.clock.now());
+        let left_ms = context.deadline.ms_since(self.clock.now());
         read_body(body, max_bytes, left_ms.min(BODY_TIMEOUT_MS)).await.map_err(|error| {
             match error {
                 ReadBodyError::TooLarge(max_bytes) => Refusal::BodyTooLarge(max_bytes),
@@ -194,7 +198,7 @@
 
     fn refuse_early(&self, attempt: &str, refusal: &Refusal) -> Response<OutBody> {
         self.metrics.count_request(refusal.code());
-        if self.lines.spend(self.clock.now(), false) {
+        if self.log_budget.spend(self.clock.now(), false) {
             log::info!(
                 target: "request",
                 request = attempt,
@@ -207,12 +211,12 @@
         refusal.to_response(retry_after_ms(RETRY_AFTER_RANGE_MS.1))
     }
 
-    fn refuse(&self, job: &RequestContext, refusal: &Refusal) -> Response<OutBody> {
-        self.record_outcome(job, refusal.code());
+    fn refuse(&self, context: &RequestContext, refusal: &Refusal) -> Response<OutBody> {
+        self.record_outcome(context, refusal.code());
         let now = self.clock.now();
-        let left_ms = job.deadline.ms_since(now);
-        let paused_until = self.all_paused_until(&job.pool.name, now);
-        let outage_range_ms = self.outage_retry_range_ms(&job.pool.name, left_ms);
+        let left_ms = context.deadline.ms_since(now);
+        let paused_until = self.all_paused_until(&context.pool.name, now);
+        let outage_range_ms = self.outage_retry_range_ms(&context.pool.name, left_ms);
         let pause_ms = paused_until.map(|until| until.ms_since(now));
         let range_ms = outage_range_ms.or(pause_ms.map(retry_range_after_pause_ms));
         refusal.to_response(match (refusal, range_ms) {
@@ -271,23 +275,23 @@
 /// such a request would otherwise not be logged.
 struct CallerGuard<D: Dialect, C: Clock> {
     gateway: Arc<Gateway<D, C>>,
-    job: Option<RequestContext>,
+    context: Option<RequestContext>,
 }
 
 impl<D: Dialect, C: Clock> CallerGuard<D, C> {
     async fn serve(&mut self) -> ServeOutcome {
-        let Some(job) = &mut self.job else {
+        let Some(context) = &mut self.context else {
             return ServeOutcome::Refused(Refusal::NotReady);
         };
         loop {
-            let response = match self.gateway.forward(job).await {
+            let response = match self.gateway.forward(context).await {
                 Ok(response) => response,
                 Err(refusal) => return ServeOutcome::Refused(refusal),
             };
-            if is_stream(job, &response.http) {
+            if is_stream(context, &response.http) {
                 return ServeOutcome::Stream(response);
             }
-            match self.gateway.buffer_response(job, response).await {
+            match self.gateway.buffer_response(context, response).await {
                 Ok(PlainResponse::Complete(response)) => {
                     return ServeOutcome::Complete(response);
                 }
@@ -295,9 +299,11 @@
                     return ServeOutcome::Partial(response, buffered);
                 }
                 Err(Refusal::OutcomeUnknown) => {
-                    job.runs += 1;
-                    let again = self.gateway.may_run_after(job, job.runs)
-                        && self.gateway.may_repeat(&job.pool.name, RetryKind::Resend);
+                    context.runs += 1;
+                    let again = self.gateway.may_run_after(context, context.runs)
+                        && self
+                            .gateway
+                            .try_spend_retry(&context.pool.name, RetryKind::Resend);
                     if !again {
                         return ServeOutcome::Refused(Refusal::OutcomeUnknown);
                     }
@@ -310,9 +316,9 @@
 
 impl<D: Dialect, C: Clock> Drop for CallerGuard<D, C> {
     fn drop(&mut self) {
-        if let Some(job) = &self.job {
-            self.gateway.record_abandoned_run(job);
-            self.gateway.record_outcome(job, "caller_left");
+        if let Some(context) = &self.context {
+            self.gateway.record_abandoned_run(context);
+            self.gateway.record_outcome(context, "caller_left");
         }
     }
 }
--- a/crates/bilberry-gateway/src/speed.rs
+++ b/crates/bilberry-gateway/src/speed.rs
@@ -41,7 +41,7 @@
     ///
     /// The time is divided by the allowed rather than the generated tokens, as only the
     /// former are known when a request is placed.
-    pub fn note_answer(&self, pool: &Name, took_ms: u64, max_tokens: u64) {
+    pub fn record_response(&self, pool: &Name, took_ms: u64, max_tokens: u64) {
         if max_tokens == 0 {
             return;
         }
@@ -52,7 +52,7 @@
     }
 
     /// Records that an engine took `took_ms` for the prefill of this many tokens.
-    pub fn note_read(&self, pool: &Name, tokens: u64, took_ms: u64) {
+    pub fn record_prefill(&self, pool: &Name, tokens: u64, took_ms: u64) {
         if tokens < MIN_READ_TOKENS {
             return;
         }
@@ -63,7 +63,7 @@
     }
 
     /// Returns the estimated prefill time of this many tokens, in milliseconds.
-    pub fn read_ms(&self, pool: &str, tokens: u64) -> u64 {
+    pub fn prefill_ms(&self, pool: &str, tokens: u64) -> u64 {
         let read_us = self.read_us.lock().unwrap().get(pool).copied();
         tokens * read_us.unwrap_or(DEFAULT_READ_US) / 1_000
     }
--- a/crates/bilberry-gateway/src/store_watch.rs
+++ b/crates/bilberry-gateway/src/store_watch.rs
@@ -15,7 +15,7 @@
 use crate::Dialect;
 use crate::Gateway;
 use crate::PromptStore;
-use crate::connections::set_options;
+use crate::connections::set_tcp_options;
 
 /// The timeout of a connection attempt to a store.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
@@ -79,7 +79,7 @@
             was_up = stream.is_some();
             log::info!(target: "prompt_store", address = address.to_string().as_str(), up = was_up; "changed");
         }
-        store.set_answers(was_up);
+        store.set_reachable(was_up);
         match stream {
             Some(stream) => wait_for_close(stream).await,
             None => sleep(RETRY_INTERVAL).await,
@@ -89,7 +89,7 @@
 
 /// Keeps a connection open until it ends.
 async fn wait_for_close(mut stream: TcpStream) {
-    set_options(&stream);
+    set_tcp_options(&stream);
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_INTERVAL)
         .with_interval(KEEPALIVE_INTERVAL);
--- a/crates/bilberry-gateway/src/upstream.rs
+++ b/crates/bilberry-gateway/src/upstream.rs
@@ -92,7 +92,7 @@
     /// Its address.
     pub address: SocketAddr,
     /// Its data centre.
-    pub place: Name,
+    pub data_centre: Name,
     /// A hash of its address.
     pub seed: u64,
     /// When it was first listed, as a position that grows with each new entry.
@@ -112,7 +112,7 @@
             id: listed.id.clone(),
             pool: listed.pool.clone(),
             address: listed.address,
-            place: listed.place.clone(),
+            data_centre: listed.data_centre.clone(),
             // Hashes the address instead of the id, so that a restarted server keeps its
             // share of the prompts and the other servers keep theirs.
             seed: xxh3_64(listed.address.to_string().as_bytes()),
@@ -211,7 +211,7 @@
             id: self.id.clone(),
             pool: self.pool.clone(),
             address: self.address,
-            place: self.place.clone(),
+            data_centre: self.data_centre.clone(),
             slots,
             leaving: false,
             models,
@@ -223,7 +223,7 @@
     }
 
     /// Applies a state of this incarnation that the sidecar reports.
-    pub fn feed(&self, state: UpstreamState, now: UnixMs) {
+    pub fn apply_state(&self, state: UpstreamState, now: UnixMs) {
         let mut live = self.live.lock().unwrap();
         if live.ended {
             return;
@@ -243,7 +243,7 @@
         // the state includes the start time, it identifies the server. The cache epoch
         // is queried separately and may lag behind the start time.
         match state.cache_epoch {
-            _ if state.born_ms.is_some() => live.incarnation = state.incarnation(),
+            _ if state.started_at_ms.is_some() => live.incarnation = state.incarnation(),
             0 => {}
             epoch if live.cache_epoch == 0 => live.cache_epoch = epoch,
             epoch => live.leaving |= epoch != live.cache_epoch,
@@ -265,7 +265,7 @@
     }
 
     /// Applies a change of its cache.
-    pub fn cache_change(&self, change: &CacheChange, now: UnixMs) {
+    pub fn apply_cache_change(&self, change: &CacheChange, now: UnixMs) {
         let mut parts = self.parts.lock().unwrap();
         if change.reset {
             parts.clear();
@@ -342,7 +342,7 @@
     pub fn record_status(&self, status: &ServerStatus, now: UnixMs) {
         let mut live = self.live.lock().unwrap();
         live.load = status.load.or(live.load);
-        if status.is_leaving && !live.announced_leaving {
+        if status.is_shutting_down && !live.announced_leaving {
             live.leaving = true;
             live.announced_leaving = true;
             self.status_changed.notify_one();
@@ -356,7 +356,7 @@
     }
 
     /// Records that the upstream answered.
-    pub fn note_answer(&self) {
+    pub fn record_answer(&self) {
         let mut live = self.live.lock().unwrap();
         live.confirmed = true;
         live.unresponsive = false;
@@ -453,7 +453,7 @@
         PlacementCandidate {
             seed: self.seed,
             usable: live.is_eligible(now),
-            same_data_centre: self.place == own_place,
+            same_data_centre: self.data_centre == own_place,
             free_slots: capacity.saturating_sub(in_progress),
             free_tokens: total_tokens.map_or(u64::MAX, |t| t.saturating_sub(used_tokens)),
             pending_tokens: live.pending_tokens,
@@ -480,7 +480,7 @@
     }
 
     /// Reports whether it is alive according to its sidecar and the last send.
-    pub fn lives(&self, now: UnixMs) -> bool {
+    pub fn is_alive(&self, now: UnixMs) -> bool {
         let live = self.live.lock().unwrap();
         !live.is_down(now) && live.failures == 0
     }
@@ -506,7 +506,7 @@
     }
 
     /// Reports whether a current state from its sidecar is known.
-    pub fn is_followed(&self, now: UnixMs) -> bool {
+    pub fn has_current_feed(&self, now: UnixMs) -> bool {
         self.live.lock().unwrap().fresh_feed(now).is_some()
     }
 
@@ -522,7 +522,7 @@
     }
 
     /// Waits until its sidecar reports it as down or a later incarnation replaces it.
-    pub async fn lost(&self) {
+    pub async fn wait_until_lost(&self) {
         let mut lost = self.lost.subscribe();
         if lost.wait_for(|&lost| lost).await.is_err() {
             std::future::pending::<()>().await;
--- a/crates/bilberry-gateway/src/upstream/reservation.rs
+++ b/crates/bilberry-gateway/src/upstream/reservation.rs
@@ -54,7 +54,7 @@
     }
 
     /// Records that the prompt has been prefilled.
-    pub fn prompt_is_read(&mut self) {
+    pub fn mark_prefilled(&mut self) {
         let pending = std::mem::take(&mut self.pending_tokens);
         self.upstream.live.lock().unwrap().pending_tokens -= pending;
     }
@@ -62,7 +62,7 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.prompt_is_read();
+        self.mark_prefilled();
         let mut live = self.upstream.live.lock().unwrap();
         live.in_progress -= 1;
         live.reserved_tokens -= self.memory_tokens;
--- a/crates/bilberry-gateway/src/upstreams.rs
+++ b/crates/bilberry-gateway/src/upstreams.rs
@@ -57,7 +57,7 @@
     /// a server of an unknown service. If it had the address of a server in use, it
     /// would count as the later one at that address, and the server would get no more
     /// work.
-    pub fn put(&self, listed: &Listing) -> Option<Arc<Upstream>> {
+    pub fn apply_listing(&self, listed: &Listing) -> Option<Arc<Upstream>> {
         // Locked throughout, so that a configuration that names the service concurrently
         // finds the listing either deferred or in use.
         let mut deferred = self.deferred.lock().unwrap();
@@ -70,7 +70,7 @@
 
     /// Sets the services that the configuration in force names, and applies the deferred
     /// listings of these services.
-    pub fn name_pools(&self, pools: impl IntoIterator<Item = Name>) {
+    pub fn set_configured_pools(&self, pools: impl IntoIterator<Item = Name>) {
         let mut deferred = self.deferred.lock().unwrap();
         for listed in deferred.release_named(pools) {
             // Deferred until now, so no incarnation of it was in use.
@@ -106,7 +106,7 @@
     }
 
     /// Applies a state from a sidecar; returns the incarnation that it ends, if any.
-    pub fn feed(
+    pub fn apply_state(
         &self,
         id: &str,
         state: UpstreamState,
@@ -117,12 +117,12 @@
         let ended = match Incarnation::compare(known.incarnation(), state.incarnation()) {
             IncarnationOrder::Older => None,
             IncarnationOrder::Same => {
-                known.feed(state, now);
+                known.apply_state(state, now);
                 None
             }
             IncarnationOrder::Newer => {
                 let next = self.insert(&mut by_id, known.next_incarnation(&state));
-                next.feed(state, now);
+                next.apply_state(state, now);
                 known.end();
                 Some(known)
             }
@@ -135,11 +135,16 @@
     /// Applies a change of an upstream's cache; returns whether it was applied.
     ///
     /// A change of any other than the current incarnation is ignored.
-    pub fn cache_change(&self, id: &str, change: &CacheChange, now: UnixMs) -> bool {
+    pub fn apply_cache_change(
+        &self,
+        id: &str,
+        change: &CacheChange,
+        now: UnixMs,
+    ) -> bool {
         let Some(known) = self.get(id) else { return false };
         let order = Incarnation::compare(known.incarnation(), change.incarnation());
         if order == IncarnationOrder::Same {
-            known.cache_change(change, now);
+            known.apply_cache_change(change, now);
         }
         order == IncarnationOrder::Same
     }
@@ -190,7 +195,7 @@
     }
 
     /// Records that the complete list has been read.
-    pub fn note_listed(&self) {
+    pub fn mark_list_complete(&self) {
         self.listed.store(true, Ordering::Relaxed);
         self.changed.notify_waiters();
     }
@@ -198,7 +203,7 @@
     /// Reports whether the complete list has been read at least once.
     ///
     /// Before that, a service without known upstreams may still have some.
-    pub fn is_listed(&self) -> bool {
+    pub fn is_list_complete(&self) -> bool {
         self.listed.load(Ordering::Relaxed)
     }
 
--- a/crates/bilberry-gateway/tests/incarnations.rs
+++ b/crates/bilberry-gateway/tests/incarnations.rs
@@ -30,30 +30,30 @@
     token_bytes: 0,
 };
 
-/// Returns a listing of the incarnation that started at `born_ms`.
-fn listed(born_ms: Option<u64>, version: u64) -> Listing {
+/// Returns a listing of the incarnation that started at `started_at_ms`.
+fn listed(started_at_ms: Option<u64>, version: u64) -> Listing {
     Listing {
         id: ID.into(),
         pool: "llm".into(),
         address: "127.0.0.1:8080".parse().expect("an address"),
-        place: "hall-a".into(),
+        data_centre: "hall-a".into(),
         slots: 2,
         leaving: false,
         models: vec![(MODEL.into(), version)],
         listed_at: StorePosition { era: None, revision: 1 },
-        incarnation: born_ms.map(|ms| Incarnation { started_at: UnixMs(ms) }),
+        incarnation: started_at_ms.map(|ms| Incarnation { started_at: UnixMs(ms) }),
     }
 }
 
-/// Returns a sidecar's state of the incarnation that started at `born_ms`.
-fn state(born_ms: Option<u64>, version: u64) -> UpstreamState {
+/// Returns a sidecar's state of the incarnation that started at `started_at_ms`.
+fn state(started_at_ms: Option<u64>, version: u64) -> UpstreamState {
     let models = vec![ModelVersion { model: MODEL.to_string(), version }];
-    UpstreamState { up: true, models, born_ms, ..UpstreamState::default() }
+    UpstreamState { up: true, models, started_at_ms, ..UpstreamState::default() }
 }
 
-/// Returns a cache change of the incarnation that started at `born_ms`.
-fn change(born_ms: Option<u64>, added: Vec<u64>) -> CacheChange {
-    CacheChange { added, born_ms, ..CacheChange::default() }
+/// Returns a cache change of the incarnation that started at `started_at_ms`.
+fn change(started_at_ms: Option<u64>, added: Vec<u64>) -> CacheChange {
+    CacheChange { added, started_at_ms, ..CacheChange::default() }
 }
 
 fn current(upstreams: &Upstreams) -> Arc<Upstream> {
@@ -71,8 +71,8 @@
 /// Announces the next incarnation through the list or the sidecar.
 fn restart(upstreams: &Upstreams, by_list: bool) {
     let ended = match by_list {
-        true => upstreams.put(&listed(Some(2), 1)),
-        false => upstreams.feed(ID, state(Some(2), 1), NOW),
+        true => upstreams.apply_listing(&listed(Some(2), 1)),
+        false => upstreams.apply_state(ID, state(Some(2), 1), NOW),
     };
     assert!(ended.expect("the earlier one is over").has_ended());
 }
@@ -80,15 +80,15 @@
 /// Returns an empty set of upstreams with one service that the configuration names.
 fn no_upstreams() -> Upstreams {
     let upstreams = Upstreams::default();
-    upstreams.name_pools(["llm".into()]);
+    upstreams.set_configured_pools(["llm".into()]);
     upstreams
 }
 
 /// Returns one upstream that is known from the list and its sidecar.
 fn one_upstream() -> Upstreams {
     let upstreams = no_upstreams();
-    assert!(upstreams.put(&listed(Some(1), 5)).is_none());
-    assert!(upstreams.feed(ID, state(Some(1), 5), NOW).is_none());
+    assert!(upstreams.apply_listing(&listed(Some(1), 5)).is_none());
+    assert!(upstreams.apply_state(ID, state(Some(1), 5), NOW).is_none());
     upstreams
 }
 
@@ -105,7 +105,7 @@
         current(&upstreams).clear_feed();
         assert_eq!(current(&upstreams).weights(MODEL, NOW), Some(1));
         assert_eq!(upstreams.newest_reported("llm", MODEL, NOW), None);
-        upstreams.feed(ID, state(Some(2), 1), NOW);
+        upstreams.apply_state(ID, state(Some(2), 1), NOW);
         assert_eq!(upstreams.newest_reported("llm", MODEL, NOW), Some(1));
     }
 }
@@ -116,9 +116,9 @@
     // expect. The sidecar reports a restart before the engine reports its models.
     let upstreams = one_upstream();
     let without = UpstreamState { models: Vec::new(), ..state(Some(2), 1) };
-    assert!(upstreams.feed(ID, without, NOW).is_some());
+    assert!(upstreams.apply_state(ID, without, NOW).is_some());
     assert_eq!(current(&upstreams).weights(MODEL, NOW), Some(0));
-    upstreams.feed(ID, state(Some(2), 1), NOW);
+    upstreams.apply_state(ID, state(Some(2), 1), NOW);
     assert_eq!(current(&upstreams).weights(MODEL, NOW), Some(1));
 }
 
@@ -137,11 +137,11 @@
         let new = offer(&upstreams);
         assert!(new.usable);
         assert_eq!((new.free_slots, new.free_tokens, new.pending_tokens), (2, 1_000, 0));
-        let seat = take_seat(&upstreams);
+        let reservation = take_seat(&upstreams);
         drop(seats);
         let new = offer(&upstreams);
         assert_eq!((new.free_slots, new.free_tokens, new.pending_tokens), (1, 600, 300));
-        drop(seat);
+        drop(reservation);
     }
 }
 
@@ -169,14 +169,14 @@
     // Cache changes of an earlier or a not yet known incarnation are ignored.
     for by_list in [true, false] {
         let upstreams = one_upstream();
-        assert!(upstreams.cache_change(ID, &change(Some(1), vec![7]), NOW));
+        assert!(upstreams.apply_cache_change(ID, &change(Some(1), vec![7]), NOW));
         assert!(current(&upstreams).holds(7, NOW));
         restart(&upstreams, by_list);
         assert!(!current(&upstreams).holds(7, NOW));
-        assert!(!upstreams.cache_change(ID, &change(Some(1), vec![8]), NOW));
-        assert!(!upstreams.cache_change(ID, &change(Some(3), vec![8]), NOW));
+        assert!(!upstreams.apply_cache_change(ID, &change(Some(1), vec![8]), NOW));
+        assert!(!upstreams.apply_cache_change(ID, &change(Some(3), vec![8]), NOW));
         assert!(!current(&upstreams).holds(8, NOW));
-        assert!(upstreams.cache_change(ID, &change(Some(2), vec![8]), NOW));
+        assert!(upstreams.apply_cache_change(ID, &change(Some(2), vec![8]), NOW));
         assert!(current(&upstreams).holds(8, NOW));
     }
 }
@@ -203,11 +203,13 @@
         let upstreams = one_upstream();
         let earlier = current(&upstreams);
         restart(&upstreams, by_list);
-        earlier.feed(state(Some(1), 5), NOW);
+        earlier.apply_state(state(Some(1), 5), NOW);
         earlier.clear_feed();
-        let lost = timeout(Duration::from_millis(100), earlier.lost()).await;
+        let lost = timeout(Duration::from_millis(100), earlier.wait_until_lost()).await;
         assert!(lost.is_ok() && earlier.is_leaving());
-        let next = timeout(Duration::from_millis(10), current(&upstreams).lost()).await;
+        let next =
+            timeout(Duration::from_millis(10), current(&upstreams).wait_until_lost())
+                .await;
         assert!(next.is_err());
     }
 }
@@ -222,11 +224,11 @@
         restart(&upstreams, by_list);
         let next = current(&upstreams);
         let late = Listing { leaving: true, slots: 9, ..listed(Some(1), 5) };
-        assert!(upstreams.put(&late).is_none());
+        assert!(upstreams.apply_listing(&late).is_none());
         let moved = "127.0.0.2:8080".parse().expect("an address");
-        assert!(upstreams.put(&Listing { address: moved, ..late }).is_none());
+        assert!(upstreams.apply_listing(&Listing { address: moved, ..late }).is_none());
         let late = UpstreamState { up: false, ..state(Some(1), 5) };
-        assert!(upstreams.feed(ID, late, NOW).is_none());
+        assert!(upstreams.apply_state(ID, late, NOW).is_none());
         assert!(Arc::ptr_eq(&next, &current(&upstreams)));
         assert_eq!(current(&upstreams).weights(MODEL, NOW), Some(1));
         let offer = offer(&upstreams);
@@ -242,9 +244,9 @@
         let upstreams = one_upstream();
         restart(&upstreams, by_list);
         let next = current(&upstreams);
-        assert!(upstreams.put(&listed(Some(2), 1)).is_none());
-        assert!(upstreams.feed(ID, state(Some(2), 3), NOW).is_none());
-        assert!(upstreams.put(&listed(Some(2), 2)).is_none());
+        assert!(upstreams.apply_listing(&listed(Some(2), 1)).is_none());
+        assert!(upstreams.apply_state(ID, state(Some(2), 3), NOW).is_none());
+        assert!(upstreams.apply_listing(&listed(Some(2), 2)).is_none());
         assert!(Arc::ptr_eq(&next, &current(&upstreams)));
         assert_eq!(next.weights(MODEL, NOW), Some(3));
     }
@@ -257,8 +259,8 @@
     let upstreams = one_upstream();
     let with_epoch =
         |epoch: u64| UpstreamState { cache_epoch: epoch, ..state(Some(2), 1) };
-    upstreams.feed(ID, with_epoch(7), NOW);
-    upstreams.feed(ID, with_epoch(8), NOW);
+    upstreams.apply_state(ID, with_epoch(7), NOW);
+    upstreams.apply_state(ID, with_epoch(8), NOW);
     assert!(offer(&upstreams).usable);
 }
 
@@ -271,16 +273,16 @@
         let upstreams = one_upstream();
         restart(&upstreams, false);
         assert!(offer(&upstreams).usable);
-        let seat = take_seat(&upstreams);
-        upstreams.feed(ID, state(Some(2), 1), NOW);
-        upstreams.put(&listed(None, 1));
+        let reservation = take_seat(&upstreams);
+        upstreams.apply_state(ID, state(Some(2), 1), NOW);
+        upstreams.apply_listing(&listed(None, 1));
         assert!(!offer(&upstreams).usable);
         match by_answer {
-            true => current(&upstreams).note_answer(),
-            false => assert!(upstreams.put(&listed(Some(2), 1)).is_none()),
+            true => current(&upstreams).record_answer(),
+            false => assert!(upstreams.apply_listing(&listed(Some(2), 1)).is_none()),
         }
         assert!(offer(&upstreams).usable);
-        drop(seat);
+        drop(reservation);
     }
 }
 
@@ -290,11 +292,11 @@
     // the earlier id for some heartbeats. Requests must go to other upstreams
     // meanwhile.
     let upstreams = no_upstreams();
-    upstreams.put(&listed(None, 1));
+    upstreams.apply_listing(&listed(None, 1));
     let with_epoch = |epoch: u64| UpstreamState { cache_epoch: epoch, ..state(None, 1) };
-    upstreams.feed(ID, with_epoch(7), NOW);
+    upstreams.apply_state(ID, with_epoch(7), NOW);
     assert!(offer(&upstreams).usable);
-    upstreams.feed(ID, with_epoch(8), NOW);
+    upstreams.apply_state(ID, with_epoch(8), NOW);
     assert!(!offer(&upstreams).usable);
 }
 
@@ -304,14 +306,14 @@
     // listing with a start time replaces it. A sidecar always reports the server that
     // it runs beside.
     let upstreams = no_upstreams();
-    upstreams.put(&Listing { leaving: true, ..listed(None, 5) });
-    assert!(upstreams.put(&listed(Some(1), 1)).is_some());
+    upstreams.apply_listing(&Listing { leaving: true, ..listed(None, 5) });
+    assert!(upstreams.apply_listing(&listed(Some(1), 1)).is_some());
     assert!(offer(&upstreams).usable);
     assert_eq!(current(&upstreams).weights(MODEL, NOW), Some(1));
     let upstreams = no_upstreams();
-    upstreams.put(&listed(None, 1));
-    assert!(upstreams.feed(ID, state(Some(1), 1), NOW).is_none());
-    assert!(upstreams.feed(ID, state(Some(2), 1), NOW).is_some());
+    upstreams.apply_listing(&listed(None, 1));
+    assert!(upstreams.apply_state(ID, state(Some(1), 1), NOW).is_none());
+    assert!(upstreams.apply_state(ID, state(Some(2), 1), NOW).is_some());
 }
 
 #[test]
@@ -324,10 +326,10 @@
         listed_at: StorePosition { era: None, revision: 2 },
         ..listed(Some(2), 1)
     };
-    upstreams.put(&listed(Some(1), 1));
-    upstreams.put(&other);
+    upstreams.apply_listing(&listed(Some(1), 1));
+    upstreams.apply_listing(&other);
     assert!(!offer(&upstreams).usable);
-    upstreams.put(&listed(Some(3), 1));
+    upstreams.apply_listing(&listed(Some(3), 1));
     assert!(offer(&upstreams).usable);
     assert!(upstreams.get("engine-9").expect("it is listed").is_leaving());
 }
--- a/crates/bilberry-gateway/tests/knowledge.rs
+++ b/crates/bilberry-gateway/tests/knowledge.rs
@@ -25,7 +25,7 @@
         id: "engine-0".into(),
         pool: "llm".into(),
         address: "10.0.0.1:8000".parse().unwrap(),
-        place: "hall-a".into(),
+        data_centre: "hall-a".into(),
         slots: 48,
         leaving: false,
         models: vec![("model".into(), 1)],
@@ -41,17 +41,21 @@
 
 #[test]
 fn the_pace_of_an_engine_is_a_moving_average_of_its_answers() {
-    let pace = SpeedEstimates::default();
+    let speed = SpeedEstimates::default();
     let pool = Name::from("llm");
-    let first_us = pace.token_us(&pool);
+    let first_us = speed.token_us(&pool);
     // One delayed answer moves the mean by a sixteenth of the difference.
-    pace.note_answer(&pool, 10_000, 100);
-    assert_eq!(pace.token_us(&pool), (first_us * 15 + 100_000) / 16);
-    (0..200).for_each(|_| pace.note_answer(&pool, 1_200, 100));
-    assert!((12_000..12_020).contains(&pace.token_us(&pool)), "{}", pace.token_us(&pool));
+    speed.record_response(&pool, 10_000, 100);
+    assert_eq!(speed.token_us(&pool), (first_us * 15 + 100_000) / 16);
+    (0..200).for_each(|_| speed.record_response(&pool, 1_200, 100));
+    assert!(
+        (12_000..12_020).contains(&speed.token_us(&pool)),
+        "{}",
+        speed.token_us(&pool)
+    );
     // An answer without tokens does not count.
-    pace.note_answer(&pool, 5, 0);
-    assert_eq!(pace.token_us("other"), first_us);
+    speed.record_response(&pool, 5, 0);
+    assert_eq!(speed.token_us("other"), first_us);
 }
 
 #[test]
@@ -90,7 +94,7 @@
     assert_eq!(keys.keys().collect::<Vec<_>>(), part_keys);
     let now = at(0);
     let upstream = engine();
-    upstream.feed(idle(), now);
+    upstream.apply_state(idle(), now);
     let kept = StoreContents::default();
     assert_eq!(keys.cached_tokens(&upstream, now), 0);
     upstream.expect_part(part_keys[0], now);
@@ -111,8 +115,8 @@
     // no request may fetch from there any more, although the sidecar's last state shows
     // the engine as up.
     let engine = engine();
-    engine.feed(idle(), at(0));
-    engine.cache_change(
+    engine.apply_state(idle(), at(0));
+    engine.apply_cache_change(
         &CacheChange { reset: true, added: vec![7], ..CacheChange::default() },
         at(0),
     );
@@ -121,10 +125,10 @@
     engine.record_failure(at(200));
     assert!(!engine.holds(7, at(200)));
     // A later answer shows that the engine is up.
-    engine.note_answer();
+    engine.record_answer();
     assert!(engine.holds(7, at(300)));
     engine.record_failure(at(400));
-    engine.feed(idle(), at(500));
+    engine.apply_state(idle(), at(500));
     assert!(engine.holds(7, at(500)));
     // Evictions are not reported without a connection, so parts expire.
     assert!(!engine.holds(7, at(60_000)));
@@ -137,21 +141,21 @@
     // neither does a refusal of a busy engine; a failed send counts until the next
     // answer.
     let engine = engine();
-    assert!(engine.lives(at(0)));
-    engine.feed(idle(), at(0));
+    assert!(engine.is_alive(at(0)));
+    engine.apply_state(idle(), at(0));
     engine.clear_feed();
     engine.record_busy(at(0), 60);
-    assert!(engine.lives(at(10)));
+    assert!(engine.is_alive(at(10)));
     engine.record_failure(at(100));
-    assert!(!engine.lives(at(5_000)));
-    engine.note_answer();
-    assert!(engine.lives(at(5_000)));
-    engine.feed(UpstreamState { up: false, ..idle() }, at(6_000));
-    assert!(!engine.lives(at(6_000)));
-    engine.feed(idle(), at(7_000));
-    assert!(engine.lives(at(7_000)));
+    assert!(!engine.is_alive(at(5_000)));
+    engine.record_answer();
+    assert!(engine.is_alive(at(5_000)));
+    engine.apply_state(UpstreamState { up: false, ..idle() }, at(6_000));
+    assert!(!engine.is_alive(at(6_000)));
+    engine.apply_state(idle(), at(7_000));
+    assert!(engine.is_alive(at(7_000)));
     engine.leave();
-    assert!(!engine.lives(at(7_000)));
+    assert!(!engine.is_alive(at(7_000)));
 }
 
 #[test]
@@ -162,23 +166,23 @@
     // restriction.
     let engine = Arc::new(engine());
     let usable = |now: u64| engine.offer(at(now), "a", None).usable;
-    let seat = || Reservation::take(engine.clone(), 10, 10, Arc::default());
-    engine.feed(idle(), at(0));
-    let before = seat();
+    let reservation = || Reservation::take(engine.clone(), 10, 10, Arc::default());
+    engine.apply_state(idle(), at(0));
+    let before = reservation();
     engine.clear_feed();
     engine.mark_unresponsive();
     assert!(usable(2_000), "requests sent before are not probes");
-    let probe = seat();
+    let probe = reservation();
     assert!(!usable(2_000));
     drop(probe);
     assert!(usable(3_000), "the caller of the probe has left");
-    let _probe = seat();
-    engine.note_answer();
+    let _probe = reservation();
+    engine.record_answer();
     assert!(usable(4_000));
     engine.mark_unresponsive();
-    let _probe = seat();
+    let _probe = reservation();
     assert!(!usable(5_000));
-    engine.feed(idle(), at(6_000));
+    engine.apply_state(idle(), at(6_000));
     assert!(usable(6_000));
     drop(before);
 }
@@ -194,7 +198,7 @@
         engine.expect_reading(key, now.plus_ms(50), now);
         let reported =
             CacheChange { added: vec![1_000_000 + key], ..CacheChange::default() };
-        engine.cache_change(&reported, now);
+        engine.apply_cache_change(&reported, now);
     }
     assert!(engine.part_count() < 8_000, "{}", engine.part_count());
     // The parts that were reported or expected last are still recorded.
--- a/crates/bilberry-node/src/common.rs
+++ b/crates/bilberry-node/src/common.rs
@@ -19,7 +19,7 @@
                 Some(Body::PiecesResponse(PiecesResponse { pieces }))
             }
             Body::EventsRequest(ask) => {
-                let events = self.events.recent(&ask.request, ask.most as usize);
+                let events = self.events.recent(&ask.request, ask.limit as usize);
                 Some(Body::EventsResponse(EventsResponse { events }))
             }
             _ => None,
--- a/crates/bilberry-node/src/http.rs
+++ b/crates/bilberry-node/src/http.rs
@@ -40,7 +40,7 @@
     }
 
     /// Handles one request.
-    fn answer(
+    fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> impl Future<Output = Response<OutBody>> + Send;
@@ -141,7 +141,7 @@
             let phase = phase.clone();
             phase.begin_response();
             async move {
-                let answer = handler.clone().answer(request).await;
+                let answer = handler.clone().handle(request).await;
                 let times = client_times(handler.as_ref(), limits);
                 let answer = answer.map(|body| ResponseBody::new(body, times, phase));
                 Ok::<_, Infallible>(answer)
--- a/crates/bilberry-node/src/operations.rs
+++ b/crates/bilberry-node/src/operations.rs
@@ -52,7 +52,7 @@
 }
 
 impl<R: Readiness> HttpHandler for Operations<R> {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
         match request.uri().path() {
             "/livez" => text(StatusCode::OK, "alive\n"),
             "/readyz" => self.readyz(),
--- a/crates/bilberry-standins/src/engine_http.rs
+++ b/crates/bilberry-standins/src/engine_http.rs
@@ -59,7 +59,7 @@
 }
 
 impl HttpHandler for EngineStandin {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
         match (request.method().clone(), request.uri().path()) {
             (Method::POST, "/v1/completions") => self.complete(request, false).await,
             (Method::POST, "/v1/chat/completions") => self.complete(request, true).await,
--- a/crates/bilberry-standins/src/platform_http.rs
+++ b/crates/bilberry-standins/src/platform_http.rs
@@ -36,7 +36,7 @@
 }
 
 impl HttpHandler for PlatformStandin {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
         let path = request.uri().path().to_string();
         if path.starts_with("/standin/") {
             return self.answer_standin(&path, request).await;
--- a/crates/bilberry-standins/src/service.rs
+++ b/crates/bilberry-standins/src/service.rs
@@ -95,7 +95,7 @@
 }
 
 impl HttpHandler for ServiceStandin {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
         match (request.method().clone(), request.uri().path()) {
             (Method::PUT, "/standin/faults") => {
                 self.set_faults(read_json(request).await);
--- a/crates/bilberry-standins/src/weights.rs
+++ b/crates/bilberry-standins/src/weights.rs
@@ -56,7 +56,7 @@
 }
 
 impl HttpHandler for WeightsStandin {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
         match request.uri().path() {
             "/standin/counters" => ok(&self.state.lock().unwrap().clone()),
             _ => self.load().await,
--- a/crates/bilberry-steward/src/cache.rs
+++ b/crates/bilberry-steward/src/cache.rs
@@ -38,7 +38,7 @@
     /// The identifier of the part.
     pub part: u64,
     /// Whether the cache holds the part now.
-    pub held: bool,
+    pub is_cached: bool,
 }
 
 /// A batch of events of an engine's cache.
@@ -142,13 +142,14 @@
     /// are added and removed.
     pub fn forward_reading(&self, notice: ReadingNotice) {
         let contents = self.contents.lock().unwrap();
-        let read_by = notice.born_ms.map(|ms| Incarnation { started_at: UnixMs(ms) });
+        let read_by =
+            notice.started_at_ms.map(|ms| Incarnation { started_at: UnixMs(ms) });
         if Incarnation::compare(contents.incarnation, read_by) != IncarnationOrder::Same {
             return;
         }
         let change = CacheChange {
             added: notice.read,
-            born_ms: notice.born_ms,
+            started_at_ms: notice.started_at_ms,
             reading: notice.begun,
             ..CacheChange::default()
         };
@@ -239,11 +240,13 @@
         if changes.is_empty() {
             return;
         }
-        let mut change =
-            CacheChange { born_ms: contents.born_ms(), ..CacheChange::default() };
+        let mut change = CacheChange {
+            started_at_ms: contents.started_at_ms(),
+            ..CacheChange::default()
+        };
         for part in changes {
             let key = part_key(&part.salt, part.part);
-            match part.held {
+            match part.is_cached {
                 true if contents.parts.insert(key) => change.added.push(key),
                 false if contents.parts.remove(&key) => change.removed.push(key),
                 _ => {}
@@ -264,12 +267,12 @@
             reset: true,
             added: self.parts.iter().copied().collect(),
             removed: Vec::new(),
-            born_ms: self.born_ms(),
+            started_at_ms: self.started_at_ms(),
             ..CacheChange::default()
         }
     }
 
-    fn born_ms(&self) -> Option<u64> {
+    fn started_at_ms(&self) -> Option<u64> {
         self.incarnation.map(|incarnation| incarnation.started_at.0)
     }
 }
--- a/crates/bilberry-steward/src/crash_relay.rs
+++ b/crates/bilberry-steward/src/crash_relay.rs
@@ -32,7 +32,7 @@
         let mut reports: Vec<_> =
             notice.runs.into_iter().map(CrashReport::from).collect();
         reports.retain(|report| ledger.merge(*report, now));
-        for notice in CrashNotice::of(&reports) {
+        for notice in CrashNotice::batches(&reports) {
             // Fails only if no entry is connected.
             let _ = self.notices.send(notice);
         }
@@ -45,7 +45,7 @@
     ) -> (Vec<CrashNotice>, broadcast::Receiver<CrashNotice>) {
         // Subscribes while holding the lock, so that no report is missed in between.
         let ledger = self.ledger.lock().unwrap();
-        (CrashNotice::of(&ledger.reports(now)).collect(), self.notices.subscribe())
+        (CrashNotice::batches(&ledger.reports(now)).collect(), self.notices.subscribe())
     }
 }
 
--- a/crates/bilberry-steward/src/engine_controller.rs
+++ b/crates/bilberry-steward/src/engine_controller.rs
@@ -57,10 +57,10 @@
     engine: E,
     clock: C,
     holder: String,
-    weights_bound_ms: Option<u64>,
+    outdated_weights_max_ms: Option<u64>,
     newest: Arc<LatestWeights>,
     cache: Arc<CacheView>,
-    first_order: Arc<OrderGate>,
+    order_gate: Arc<OrderGate>,
     state: watch::Sender<EngineState>,
     /// Counters and gauges.
     pub metrics: SidecarMetrics,
@@ -90,10 +90,10 @@
 }
 
 impl PollState {
-    fn new(weights_bound_ms: Option<u64>) -> Self {
+    fn new(outdated_weights_max_ms: Option<u64>) -> Self {
         Self {
             incarnation: None,
-            rollout: Rollout::new(weights_bound_ms),
+            rollout: Rollout::new(outdated_weights_max_ms),
             failed_polls: 0,
             accepted_order: None,
             plan: None,
@@ -119,13 +119,13 @@
 impl<E: Engine, C: Clock> EngineController<E, C> {
     /// Creates a steward.
     ///
-    /// `holder` names this host in orders. `weights_bound_ms` is the time after which no
+    /// `holder` names this host in orders. `outdated_weights_max_ms` is the time after which no
     /// request may start on older weights.
     pub fn new(
         engine: E,
         clock: C,
         holder: String,
-        weights_bound_ms: Option<u64>,
+        outdated_weights_max_ms: Option<u64>,
         newest: Arc<LatestWeights>,
         cache: Arc<CacheView>,
     ) -> Self {
@@ -133,18 +133,18 @@
             engine,
             clock,
             holder,
-            weights_bound_ms,
+            outdated_weights_max_ms,
             newest,
             cache,
-            first_order: Arc::default(),
+            order_gate: Arc::default(),
             state: watch::Sender::default(),
             metrics: SidecarMetrics::new(),
         }
     }
 
-    /// Sends no order before `first_order` allows it.
-    pub fn after(self, first_order: Arc<OrderGate>) -> Self {
-        Self { first_order, ..self }
+    /// Sends no order before `order_gate` allows it.
+    pub fn with_order_gate(self, order_gate: Arc<OrderGate>) -> Self {
+        Self { order_gate, ..self }
     }
 
     /// Subscribes to the engine's state.
@@ -154,7 +154,7 @@
 
     /// Polls the engine indefinitely.
     pub async fn run(self: Arc<Self>) {
-        let mut state = PollState::new(self.weights_bound_ms);
+        let mut state = PollState::new(self.outdated_weights_max_ms);
         loop {
             match self.poll().await {
                 Some(report) if self.admit_report(&report, &mut state) => {
@@ -187,7 +187,7 @@
         let relation = Incarnation::compare(state.incarnation, report.incarnation);
         if relation == IncarnationOrder::Newer {
             log::info!(target: "engine", running = report.running, orders = report.orders; "started again");
-            *state = PollState::new(self.weights_bound_ms);
+            *state = PollState::new(self.outdated_weights_max_ms);
         }
         if relation != IncarnationOrder::Older {
             state.incarnation = report.incarnation.or(state.incarnation);
@@ -232,7 +232,8 @@
             let upstream = &mut published.upstream;
             upstream.up = true;
             upstream.cache_epoch = self.cache.epoch();
-            upstream.born_ms = state.incarnation.map(|current| current.started_at.0);
+            upstream.started_at_ms =
+                state.incarnation.map(|current| current.started_at.0);
             upstream.leaving = report.is_leaving;
             upstream.loading = loading;
             upstream.models = report.models.clone();
@@ -265,9 +266,9 @@
             let (version, since) =
                 self.newest.missing_version(&served.model, served.version)?;
             let weights = ModelVersion { model: served.model.clone(), version };
-            let planned_at = state.rollout.starts_at(since, self.newest.place());
+            let planned_at = state.rollout.starts_at(since, self.newest.rollout_place());
             let starts_at = planned_at.max(state.next_order_at);
-            let starts_at = starts_at.max(self.first_order.allowed_at());
+            let starts_at = starts_at.max(self.order_gate.allowed_at());
             Some(NextLoad { weights, planned_at, starts_at, outdated_since: since })
         };
         report.models.iter().find_map(load_for)
@@ -289,7 +290,7 @@
             return;
         }
         if let Some(plan) = &plan {
-            let place = self.newest.place();
+            let place = self.newest.rollout_place();
             self.metrics.plans.inc();
             log::info!(
                 target: "weights",
--- a/crates/bilberry-steward/src/feed.rs
+++ b/crates/bilberry-steward/src/feed.rs
@@ -149,10 +149,10 @@
             loads_in_ms: sent.loads_at.map(|at| at.ms_since(now)),
             ..sent.upstream.clone()
         };
-        let born_ms = Some(upstream.born_ms);
+        let started_at_ms = Some(upstream.started_at_ms);
         send(&mut framed, Body::UpstreamState(upstream)).await?;
         // Entries ignore the cache contents of an incarnation that they do not know yet.
-        if std::mem::replace(&mut sent_born_ms, born_ms) != born_ms {
+        if std::mem::replace(&mut sent_born_ms, started_at_ms) != started_at_ms {
             cache = CacheSubscription::new(feed.cache.clone());
             send(&mut framed, Body::CacheChange(cache.take_snapshot())).await?;
         }
@@ -211,7 +211,7 @@
                         }
                         _ => continue,
                     };
-                    feed.newest.hear_entry(&notice, feed.clock.now());
+                    feed.newest.record_notice(&notice, feed.clock.now());
                     let wanted = parse_addresses(&notice.prompt_stores);
                     stores.retain(|store: &StoreSubscription| wanted.contains(&store.address));
                     for address in wanted {
@@ -324,7 +324,7 @@
 fn is_urgent(before: &EngineState, now: &EngineState) -> bool {
     let urgent = |state: &EngineState| {
         let EngineState { upstream, loads_at } = state;
-        let incarnation = (upstream.cache_epoch, upstream.born_ms);
+        let incarnation = (upstream.cache_epoch, upstream.started_at_ms);
         (upstream.up, upstream.loading, upstream.leaving, incarnation, *loads_at)
     };
     urgent(before) != urgent(now) || before.upstream.models != now.upstream.models
--- a/crates/bilberry-steward/src/latest_weights.rs
+++ b/crates/bilberry-steward/src/latest_weights.rs
@@ -23,7 +23,7 @@
 
 impl LatestWeights {
     /// Records that weights exist; older versions change nothing.
-    pub fn hear(&self, model: &str, version: u64, now: UnixMs) {
+    pub fn record_version(&self, model: &str, version: u64, now: UnixMs) {
         let mut known = self.known.lock().unwrap();
         known.weights.entry(model.into()).or_default().record(version, now);
     }
@@ -32,9 +32,9 @@
     ///
     /// A sidecar that is cut off from the platform learns of new weights from the
     /// entries, which see them at other upstreams.
-    pub fn hear_entry(&self, notice: &EntryNotice, now: UnixMs) {
+    pub fn record_notice(&self, notice: &EntryNotice, now: UnixMs) {
         for weights in notice.newest.iter().filter(|weights| weights.version > 0) {
-            self.hear(&weights.model, weights.version, now);
+            self.record_version(&weights.model, weights.version, now);
         }
         let servers = notice.servers as usize;
         let position = notice.position as usize;
@@ -54,7 +54,7 @@
     /// Returns the engine's place in rollouts of its service.
     ///
     /// Until an entry has reported one, the engine counts as the only one.
-    pub fn place(&self) -> RolloutPlace {
+    pub fn rollout_place(&self) -> RolloutPlace {
         let alone = RolloutPlace { position: 0, servers: 1, down: 0 };
         self.known.lock().unwrap().place.unwrap_or(alone)
     }
--- a/crates/bilberry-steward/src/watch_hub.rs
+++ b/crates/bilberry-steward/src/watch_hub.rs
@@ -320,7 +320,7 @@
         WatchReply::OutOfSync => return answer_without_changes(WatchOutcome::OutOfSync),
     };
     let StorePosition { era, revision } = position;
-    WatchResponse { outcome: outcome.into(), revision, confirmed_ms, news, era }
+    WatchResponse { outcome: outcome.into(), revision, confirmed_ms, changes: news, era }
 }
 
 fn answer_without_changes(outcome: WatchOutcome) -> WatchResponse {
--- a/crates/bilberry-steward/tests/incarnations.rs
+++ b/crates/bilberry-steward/tests/incarnations.rs
@@ -87,29 +87,29 @@
     }
 }
 
-fn incarnation(born_ms: u64) -> Incarnation {
-    Incarnation { started_at: UnixMs(born_ms) }
+fn incarnation(started_at_ms: u64) -> Incarnation {
+    Incarnation { started_at: UnixMs(started_at_ms) }
 }
 
-fn report(born_ms: u64, version: u64, orders: u64) -> EngineReport {
+fn report(started_at_ms: u64, version: u64, orders: u64) -> EngineReport {
     EngineReport {
         models: vec![ModelVersion { model: MODEL.to_string(), version }],
         orders,
-        incarnation: Some(incarnation(born_ms)),
+        incarnation: Some(incarnation(started_at_ms)),
         ..EngineReport::default()
     }
 }
 
 fn part(part: u64) -> CachedPart {
-    CachedPart { salt: String::new(), part, held: true }
+    CachedPart { salt: String::new(), part, is_cached: true }
 }
 
-fn listing(born_ms: Option<u64>, epoch: u64, parts: &[u64]) -> CacheListing {
+fn listing(started_at_ms: Option<u64>, epoch: u64, parts: &[u64]) -> CacheListing {
     CacheListing {
         epoch,
         next: 0,
         parts: parts.iter().copied().map(part).collect(),
-        incarnation: born_ms.map(incarnation),
+        incarnation: started_at_ms.map(incarnation),
     }
 }
 
@@ -151,10 +151,10 @@
         ScriptedEngine::new(Answers { report: report(2, 1, 0), ..Answers::default() });
     let steward = start_steward(&engine, LatestWeights::default());
     let mut states = steward.state();
-    wait_for_state(&mut states, |state| state.upstream.born_ms == Some(2)).await;
+    wait_for_state(&mut states, |state| state.upstream.started_at_ms == Some(2)).await;
     engine.change(|answers| answers.report = report(1, 7, 3));
     let state = wait_for_state(&mut states, |state| !state.upstream.up).await;
-    assert_eq!(state.upstream.born_ms, Some(2));
+    assert_eq!(state.upstream.started_at_ms, Some(2));
     assert_eq!(state.upstream.models[0].version, 1);
     engine.change(|answers| answers.report = report(2, 1, 0));
     wait_for_state(&mut states, |state| state.upstream.up).await;
@@ -167,7 +167,7 @@
     // measured load. After another restart with old weights, a second order must carry the
     // new incarnation and its order count.
     let newest = LatestWeights::default();
-    newest.hear(MODEL, 3, BootClock::new().now());
+    newest.record_version(MODEL, 3, BootClock::new().now());
     let engine = ScriptedEngine::new(Answers {
         report: report(1, 2, 5),
         after_order: Some(report(2, 3, 0)),
@@ -175,12 +175,12 @@
     });
     let steward = start_steward(&engine, newest);
     let mut states = steward.state();
-    let restarted = |state: &EngineState| state.upstream.born_ms == Some(2);
+    let restarted = |state: &EngineState| state.upstream.started_at_ms == Some(2);
     wait_for_state(&mut states, restarted).await;
     let metrics = steward.metrics.render();
     assert!(metrics.contains("load_seconds_count 0"), "{metrics}");
     engine.change(|answers| answers.report = report(3, 2, 0));
-    let restarted = |state: &EngineState| state.upstream.born_ms == Some(3);
+    let restarted = |state: &EngineState| state.upstream.started_at_ms == Some(3);
     wait_for_state(&mut states, restarted).await;
     let mut answers = engine.answers.subscribe();
     let ordered = |_: &Answers| engine.orders.lock().unwrap().len() == 2;
@@ -199,12 +199,12 @@
     change.expect("timed out").expect("the view was dropped")
 }
 
-fn snapshot(born_ms: u64, parts: &[u64]) -> CacheChange {
+fn snapshot(started_at_ms: u64, parts: &[u64]) -> CacheChange {
     CacheChange {
         reset: true,
         added: parts.iter().map(|&part| part_key("", part)).collect(),
         removed: Vec::new(),
-        born_ms: Some(born_ms),
+        started_at_ms: Some(started_at_ms),
         reading: Vec::new(),
     }
 }
@@ -215,7 +215,7 @@
     // earlier incarnation, whether or not it says so. Entries must receive an empty cache
     // once the restart is known, and then only the contents of the new incarnation.
     for reports_incarnation in [true, false] {
-        let born = |born_ms: u64| reports_incarnation.then_some(born_ms);
+        let born = |started_at_ms: u64| reports_incarnation.then_some(started_at_ms);
         let engine = ScriptedEngine::new(Answers {
             listing: listing(born(1), 7, &[1]),
             ..Answers::default()
@@ -279,15 +279,15 @@
     let view = CacheView::new();
     view.observe_incarnation(Incarnation { started_at: UnixMs(2) });
     let (_, mut changes) = view.subscribe();
-    let notice = |born_ms| ReadingNotice {
+    let notice = |started_at_ms| ReadingNotice {
         read: vec![7],
-        born_ms: Some(born_ms),
+        started_at_ms: Some(started_at_ms),
         ..ReadingNotice::default()
     };
     view.forward_reading(notice(1));
     view.forward_reading(notice(2));
     let forwarded = next(&mut changes).await;
-    assert_eq!((forwarded.added, forwarded.born_ms), (vec![7], Some(2)));
+    assert_eq!((forwarded.added, forwarded.started_at_ms), (vec![7], Some(2)));
     assert!(changes.is_empty());
     assert_eq!(view.subscribe().0.added, Vec::<u64>::new());
 }
--- a/crates/bilberry-steward/tests/loads.rs
+++ b/crates/bilberry-steward/tests/loads.rs
@@ -78,7 +78,7 @@
     clock: &ManualClock,
 ) -> watch::Receiver<EngineState> {
     let newest = LatestWeights::default();
-    newest.hear(MODEL, 3, clock.now());
+    newest.record_version(MODEL, 3, clock.now());
     let steward = Arc::new(EngineController::new(
         engine.clone(),
         clock.clone(),
--- a/crates/bilberry-steward/tests/watch_hub.rs
+++ b/crates/bilberry-steward/tests/watch_hub.rs
@@ -131,7 +131,7 @@
     for request in pending {
         let answer = response(request).await;
         assert_eq!(answer.outcome(), WatchOutcome::Changed);
-        assert_eq!((answer.revision, answer.news.as_ref()), (9, &b"changes"[..]));
+        assert_eq!((answer.revision, answer.changes.as_ref()), (9, &b"changes"[..]));
         // The call was made when the request arrived, so the answer says nothing about any
         // later time.
         assert_eq!(answer.confirmed_ms, 0);
@@ -194,7 +194,7 @@
     response(other).await;
     let late = response(fixture.request(7).await).await;
     assert_eq!(late.outcome(), WatchOutcome::Changed);
-    assert_eq!((late.revision, late.news), (9, "changes".into()));
+    assert_eq!((late.revision, late.changes), (9, "changes".into()));
     // The answer is as old as the call that returned the change.
     assert_eq!(late.confirmed_ms, 0);
     // An entry that is two changes behind has missed one that the hub no longer keeps.
--- a/crates/bilberry-wire/src/crashes.rs
+++ b/crates/bilberry-wire/src/crashes.rs
@@ -49,7 +49,7 @@
     /// Splits these reports into notices that each fit into a frame.
     ///
     /// Yields nothing if there are no reports.
-    pub fn of(reports: &[CrashReport]) -> impl Iterator<Item = Self> {
+    pub fn batches(reports: &[CrashReport]) -> impl Iterator<Item = Self> {
         let chunks = reports.chunks(MAX_RUNS_PER_NOTICE);
         chunks.map(|chunk| Self { runs: chunk.iter().copied().map(Into::into).collect() })
     }
--- a/crates/bilberry-wire/src/feed.rs
+++ b/crates/bilberry-wire/src/feed.rs
@@ -51,7 +51,7 @@
     pub loads_in_ms: Option<u64>,
     /// When the upstream started, in Unix milliseconds, if it reports that.
     #[prost(fixed64, optional, tag = "11")]
-    pub born_ms: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// Whether it has announced its shutdown in a response.
     #[prost(bool, tag = "12")]
     pub leaving: bool,
@@ -93,7 +93,7 @@
     pub read: Vec<u64>,
     /// When the upstream reading them started, in Unix milliseconds, if known.
     #[prost(fixed64, optional, tag = "3")]
-    pub born_ms: Option<u64>,
+    pub started_at_ms: Option<u64>,
 }
 
 /// A prompt part that is being read.
@@ -134,7 +134,7 @@
     pub removed: Vec<u64>,
     /// When the holder of the parts started, in Unix milliseconds, if known.
     #[prost(fixed64, optional, tag = "4")]
-    pub born_ms: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// Parts that the upstream has started to read.
     #[prost(message, repeated, tag = "5")]
     pub reading: Vec<PrefillNotice>,
@@ -143,13 +143,13 @@
 impl UpstreamState {
     /// Returns the incarnation that this message describes, if known.
     pub fn incarnation(&self) -> Option<Incarnation> {
-        self.born_ms.map(|ms| Incarnation { started_at: UnixMs(ms) })
+        self.started_at_ms.map(|ms| Incarnation { started_at: UnixMs(ms) })
     }
 }
 
 impl CacheChange {
     /// Returns the incarnation that this message describes, if known.
     pub fn incarnation(&self) -> Option<Incarnation> {
-        self.born_ms.map(|ms| Incarnation { started_at: UnixMs(ms) })
+        self.started_at_ms.map(|ms| Incarnation { started_at: UnixMs(ms) })
     }
 }
--- a/crates/bilberry-wire/src/shared_watch.rs
+++ b/crates/bilberry-wire/src/shared_watch.rs
@@ -66,7 +66,7 @@
     pub confirmed_ms: i64,
     /// The changes in the encoding of the store.
     #[prost(bytes = "bytes", tag = "4")]
-    pub news: Bytes,
+    pub changes: Bytes,
     /// The era of the store that the revision belongs to; none if the store reports no
     /// era or the sender does not support eras.
     #[prost(uint64, optional, tag = "5")]
--- a/crates/bilberry-wire/src/state.rs
+++ b/crates/bilberry-wire/src/state.rs
@@ -98,7 +98,7 @@
     pub request: String,
     /// The maximum number of events; the most recent are returned.
     #[prost(uint32, tag = "2")]
-    pub most: u32,
+    pub limit: u32,
 }
 
 /// Recorded events.
--- a/crates/bilberryd/src/hosted.rs
+++ b/crates/bilberryd/src/hosted.rs
@@ -146,9 +146,9 @@
         PlatformDialect,
         clock,
         GatewaySettings {
-            place: settings.place.clone(),
-            keys_good_ms: settings.keys_good_ms.map(|ms| ms - KEY_VALIDITY_MARGIN_MS),
-            weights_bound_ms: settings.weights_bound_ms,
+            data_centre: settings.place.clone(),
+            key_max_age_ms: settings.key_max_age_ms.map(|ms| ms - KEY_VALIDITY_MARGIN_MS),
+            outdated_weights_max_ms: settings.outdated_weights_max_ms,
             budget: BudgetLimits {
                 ratio: settings.repeat_ratio,
                 slack: settings.repeat_slack,
@@ -173,7 +173,7 @@
             lease_ms,
             settle_ms: settings.settle_ms,
             sidecar_port: settings.peers_port,
-            weights_bound_ms: settings.weights_bound_ms,
+            outdated_weights_max_ms: settings.outdated_weights_max_ms,
         };
         let claims = Claims::new(settings.store);
         tokio::spawn(order_unattended(claims, gateway.clone(), terms));
@@ -221,11 +221,11 @@
         HttpEngine::new(engine),
         clock,
         holder,
-        settings.weights_bound_ms,
+        settings.outdated_weights_max_ms,
         newest.clone(),
         cache.clone(),
     );
-    let steward = Arc::new(steward.after(first_order.clone()));
+    let steward = Arc::new(steward.with_order_gate(first_order.clone()));
     let claims = Claims::new(settings.store);
     tokio::spawn(allow_first_order(claims, clock, steward.state(), first_order));
     let unreadable = steward.metrics.unreadable.clone();
--- a/crates/bilberryd/src/status.rs
+++ b/crates/bilberryd/src/status.rs
@@ -50,7 +50,7 @@
 }
 
 impl<S: Status> HttpHandler for StatusPage<S> {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
         let (status, text) = match request.uri().path() {
             "/metrics" => (StatusCode::OK, self.process.metrics()),
             _ if self.process.is_ready() => (StatusCode::OK, "ready\n".to_string()),
