--- a/crates/bilberry-entry/src/admin.rs
+++ b/crates/bilberry-entry/src/admin.rs
@@ -24,7 +24,7 @@
 use crate::ApiError;
 use crate::Entry;
 use crate::ErrorKind;
-use crate::Knowledge;
+use crate::UpstreamProber;
 use crate::auth::bearer;
 use crate::auth::hash_secret;
 use crate::fleet::fleet_events;
@@ -41,7 +41,7 @@
 
 /// Serves the administration API of an entry.
 #[derive(Debug)]
-pub struct Admin<P: Platform, K: Knowledge> {
+pub struct Admin<P: Platform, K: UpstreamProber> {
     entry: Arc<Entry<P, K>>,
     administrators: Vec<Administrator>,
 }
@@ -52,7 +52,7 @@
     in_progress: u64,
 }
 
-impl<P: Platform, K: Knowledge> Admin<P, K> {
+impl<P: Platform, K: UpstreamProber> Admin<P, K> {
     /// Creates the handler.
     pub fn new(entry: Arc<Entry<P, K>>, administrators: Vec<Administrator>) -> Self {
         Self { entry, administrators }
@@ -132,7 +132,7 @@
     }
 }
 
-impl<P: Platform, K: Knowledge> HttpHandler for Admin<P, K> {
+impl<P: Platform, K: UpstreamProber> HttpHandler for Admin<P, K> {
     async fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
--- a/crates/bilberry-entry/src/admin_config.rs
+++ b/crates/bilberry-entry/src/admin_config.rs
@@ -29,7 +29,7 @@
 use crate::ApiError;
 use crate::Entry;
 use crate::ErrorKind;
-use crate::Knowledge;
+use crate::UpstreamProber;
 
 /// The result of a check, diff or apply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -49,7 +49,7 @@
     files: Vec<PieceFile>,
 }
 
-impl<P: Platform, K: Knowledge> Entry<P, K> {
+impl<P: Platform, K: UpstreamProber> Entry<P, K> {
     /// Validates a folder and returns the changes that it would make.
     pub(crate) async fn diff_config(
         &self,
--- a/crates/bilberry-entry/src/collect.rs
+++ b/crates/bilberry-entry/src/collect.rs
@@ -14,8 +14,8 @@
 use tokio::time::Instant;
 use tokio::time::timeout_at;
 
-use crate::Answered;
-use crate::Question;
+use crate::ProbeQuery;
+use crate::ProbeResult;
 
 /// The maximum extension of a wait for late answers.
 const MAX_EXTENSION: Duration = Duration::from_millis(50);
@@ -27,9 +27,9 @@
 ///
 /// If the wait overruns, there is a second and last one, as long as the overrun but
 /// at most `question.wait`. Each is extended for late answers.
-pub async fn collect_answers<S>(answers: S, question: &Question<'_>) -> Vec<Answered>
+pub async fn collect_answers<S>(answers: S, question: &ProbeQuery<'_>) -> Vec<ProbeResult>
 where
-    S: Stream<Item = Option<Answered>> + Unpin,
+    S: Stream<Item = Option<ProbeResult>> + Unpin,
 {
     let mut collector = AnswerCollector { pending: answers, answers: Vec::new() };
     let until = Instant::now() + question.wait;
@@ -46,10 +46,10 @@
 /// The answers received so far and the stream of outstanding ones.
 struct AnswerCollector<S> {
     pending: S,
-    answers: Vec<Answered>,
+    answers: Vec<ProbeResult>,
 }
 
-impl<S: Stream<Item = Option<Answered>> + Unpin> AnswerCollector<S> {
+impl<S: Stream<Item = Option<ProbeResult>> + Unpin> AnswerCollector<S> {
     /// Collects answers until `until`, then late ones for up to `patience`, and returns
     /// the overrun of the wait.
     ///
@@ -58,7 +58,7 @@
     async fn collect_until(
         &mut self,
         until: Instant,
-        question: &Question<'_>,
+        question: &ProbeQuery<'_>,
     ) -> Duration {
         while self.receive_next(until).await {}
         let overrun = until.elapsed();
@@ -89,7 +89,7 @@
 }
 
 /// Returns how long a wait is extended for late answers.
-fn patience(answers: &[Answered], question: &Question<'_>) -> Duration {
+fn patience(answers: &[ProbeResult], question: &ProbeQuery<'_>) -> Duration {
     let blocks = question.chains.values().map(Chain::len).max().unwrap_or(0) as u64;
     let views: Vec<_> = answers.iter().map(|answer| answer.view.clone()).collect();
     let max_ms = MAX_EXTENSION.as_secs_f64() * 1e3;
--- a/crates/bilberry-entry/src/completion.rs
+++ b/crates/bilberry-entry/src/completion.rs
@@ -19,7 +19,7 @@
 use crate::CompletionStyle;
 use crate::Entry;
 use crate::ErrorKind;
-use crate::Knowledge;
+use crate::UpstreamProber;
 use crate::entry::Admitted;
 use crate::run::Run;
 use crate::run::RunOutput;
@@ -29,7 +29,7 @@
 /// The maximum number of events buffered for a caller that reads slowly.
 const MAX_BUFFERED_EVENTS: usize = 64;
 
-impl<P: Platform, K: Knowledge> Entry<P, K> {
+impl<P: Platform, K: UpstreamProber> Entry<P, K> {
     /// Handles a completion request.
     pub(crate) async fn complete(
         self: Arc<Self>,
@@ -89,7 +89,7 @@
 }
 
 /// Sends a stream until it ends; returns the code under which it is counted.
-async fn send_stream<P: Platform, K: Knowledge>(
+async fn send_stream<P: Platform, K: UpstreamProber>(
     run: &mut Run<P, K>,
     writer: &CompletionWriter,
     first: RunOutput,
@@ -130,7 +130,7 @@
 }
 
 /// Collects a response that is not streamed.
-async fn collect<P: Platform, K: Knowledge>(
+async fn collect<P: Platform, K: UpstreamProber>(
     mut run: Run<P, K>,
     writer: CompletionWriter,
 ) -> Result<Response<ResponseBody>, ApiError> {
--- a/crates/bilberry-entry/src/entry.rs
+++ b/crates/bilberry-entry/src/entry.rs
@@ -29,8 +29,8 @@
 use crate::ApiError;
 use crate::Claims;
 use crate::ErrorKind;
-use crate::Knowledge;
 use crate::Router;
+use crate::UpstreamProber;
 use crate::auth::authenticate;
 
 /// The header that sets the deadline of a request, in milliseconds from its arrival.
@@ -69,7 +69,7 @@
     customers: Mutex<CustomerLimits>,
 }
 
-impl<P: Platform, K: Knowledge> Entry<P, K> {
+impl<P: Platform, K: UpstreamProber> Entry<P, K> {
     /// Creates an entry located at `place`.
     pub fn new(
         node: Arc<Node>,
@@ -135,7 +135,7 @@
 
 /// An admitted request; dropping it releases the customer's concurrency slot.
 #[derive(Debug)]
-pub(crate) struct Admitted<P: Platform, K: Knowledge> {
+pub(crate) struct Admitted<P: Platform, K: UpstreamProber> {
     entry: Arc<Entry<P, K>>,
     pub(crate) compiled: Arc<Compiled>,
     pub(crate) customer: Arc<Customer>,
@@ -143,13 +143,13 @@
     pub(crate) id: String,
 }
 
-impl<P: Platform, K: Knowledge> Drop for Admitted<P, K> {
+impl<P: Platform, K: UpstreamProber> Drop for Admitted<P, K> {
     fn drop(&mut self) {
         self.entry.customers.lock().unwrap().release(&self.customer.name);
     }
 }
 
-impl<P: Platform, K: Knowledge> PeerHandler for Entry<P, K> {
+impl<P: Platform, K: UpstreamProber> PeerHandler for Entry<P, K> {
     async fn handle(&self, body: Body, reply: Reply) {
         let answer = match body {
             Body::StatusRequest(_) => Some(Body::StatusResponse(StatusResponse {
@@ -167,7 +167,7 @@
     }
 }
 
-impl<P: Platform, K: Knowledge> Readiness for Entry<P, K> {
+impl<P: Platform, K: UpstreamProber> Readiness for Entry<P, K> {
     fn hindrance(&self) -> Option<&'static str> {
         match self.node.config.revision() {
             0 => Some("no configuration is in force yet\n"),
--- a/crates/bilberry-entry/src/explain.rs
+++ b/crates/bilberry-entry/src/explain.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Answered;
+use crate::ProbeResult;
 use crate::Target;
 
 /// The routing decision for one request.
@@ -46,7 +46,7 @@
     /// Creates the record of a decision among the `probed` upstreams.
     pub fn new(
         probed: &[Target],
-        answers: &[Answered],
+        answers: &[ProbeResult],
         prompt_blocks: u64,
         weighing: ScoreWeights,
         chosen: Option<usize>,
@@ -55,7 +55,7 @@
         let (ready, unready): (Vec<_>, Vec<_>) =
             answers.iter().partition(|answer| answer.is_ready());
         let is_silent = |at: &usize| !answers.iter().any(|answer| answer.target == *at);
-        let scored = ready.iter().map(|Answered { view, .. }| ExplainedAnswer {
+        let scored = ready.iter().map(|ProbeResult { view, .. }| ExplainedAnswer {
             upstream: view.upstream.clone(),
             is_ranked: view.is_ranked,
             held_blocks: view.held_blocks,
--- a/crates/bilberry-entry/src/http_api.rs
+++ b/crates/bilberry-entry/src/http_api.rs
@@ -23,7 +23,7 @@
 use crate::CompletionStyle;
 use crate::Entry;
 use crate::ErrorKind;
-use crate::Knowledge;
+use crate::UpstreamProber;
 use crate::auth::authenticate;
 
 /// The header that identifies a request in responses, logs and the timeline.
@@ -45,7 +45,7 @@
     owned_by: &'a str,
 }
 
-impl<P: Platform, K: Knowledge> HttpHandler for Entry<P, K> {
+impl<P: Platform, K: UpstreamProber> HttpHandler for Entry<P, K> {
     async fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
@@ -67,7 +67,7 @@
     }
 }
 
-impl<P: Platform, K: Knowledge> Entry<P, K> {
+impl<P: Platform, K: UpstreamProber> Entry<P, K> {
     async fn dispatch(
         self: Arc<Self>,
         request: Request<Incoming>,
--- a/crates/bilberry-entry/src/knowledge.rs
+++ b/crates/bilberry-entry/src/knowledge.rs
@@ -36,7 +36,7 @@
 
 /// The parameters of a probe.
 #[derive(Debug)]
-pub struct Question<'a> {
+pub struct ProbeQuery<'a> {
     /// The customer.
     pub customer: &'a Name,
     /// The customer's priority.
@@ -53,7 +53,7 @@
 
 /// The answer of one upstream.
 #[derive(Debug, Clone)]
-pub struct Answered {
+pub struct ProbeResult {
     /// The index of the target.
     pub target: usize,
     /// The cached blocks and the load of the upstream.
@@ -64,7 +64,7 @@
     pub weights: Name,
 }
 
-impl Answered {
+impl ProbeResult {
     /// Returns whether the upstream accepts new requests.
     pub fn is_ready(&self) -> bool {
         self.readiness == Readiness::Ready
@@ -72,27 +72,27 @@
 }
 
 /// A source of the current state of upstreams.
-pub trait Knowledge: Send + Sync + 'static {
+pub trait UpstreamProber: Send + Sync + 'static {
     /// Whether all upstreams are queried instead of the most likely candidates.
     ///
     /// This is too expensive outside of experiments that determine an upper bound.
-    const ASKS_ALL: bool = false;
+    const PROBES_ALL: bool = false;
 
     /// Queries the targets; the result omits those that do not answer in time.
     fn ask(
         &self,
         targets: &[Target],
-        question: &Question<'_>,
-    ) -> impl Future<Output = Vec<Answered>> + Send;
+        question: &ProbeQuery<'_>,
+    ) -> impl Future<Output = Vec<ProbeResult>> + Send;
 }
 
 /// Probes the sidecars of all targets concurrently.
 #[derive(Debug, Clone)]
-pub struct Probing {
+pub struct SidecarProber {
     links: PeerPool,
 }
 
-impl Probing {
+impl SidecarProber {
     /// Creates a prober that uses the given links.
     pub fn new(links: PeerPool) -> Self {
         Self { links }
@@ -102,8 +102,8 @@
         &self,
         at: usize,
         target: &Target,
-        question: &Question<'_>,
-    ) -> Option<Answered> {
+        question: &ProbeQuery<'_>,
+    ) -> Option<ProbeResult> {
         let chain = question.chains.get(&target.weights);
         let probe = Probe {
             customer: question.customer.to_string(),
@@ -119,8 +119,12 @@
     }
 }
 
-impl Knowledge for Probing {
-    async fn ask(&self, targets: &[Target], question: &Question<'_>) -> Vec<Answered> {
+impl UpstreamProber for SidecarProber {
+    async fn ask(
+        &self,
+        targets: &[Target],
+        question: &ProbeQuery<'_>,
+    ) -> Vec<ProbeResult> {
         let probes: FuturesUnordered<_> = targets
             .iter()
             .enumerate()
@@ -130,14 +134,14 @@
     }
 }
 
-fn answered(at: usize, target: &Target, answer: &ProbeAnswer) -> Answered {
+fn answered(at: usize, target: &Target, answer: &ProbeAnswer) -> ProbeResult {
     let weights = Name::from(answer.weights.as_str());
     // The fingerprints were computed for other weights, so no reported block matches.
     let held_blocks = match weights == target.weights {
         true => u64::from(answer.held_blocks),
         false => 0,
     };
-    Answered {
+    ProbeResult {
         target: at,
         view: ProbeView {
             upstream: target.upstream.clone(),
--- a/crates/bilberry-entry/src/plain.rs
+++ b/crates/bilberry-entry/src/plain.rs
@@ -20,7 +20,7 @@
 use crate::ApiError;
 use crate::Entry;
 use crate::ErrorKind;
-use crate::Knowledge;
+use crate::UpstreamProber;
 use crate::entry::Admitted;
 use crate::replay::into_response;
 
@@ -44,7 +44,7 @@
     body: Bytes,
 }
 
-impl<P: Platform, K: Knowledge> Entry<P, K> {
+impl<P: Platform, K: UpstreamProber> Entry<P, K> {
     /// Handles a call to a plain service.
     pub(crate) async fn handle_service_call(
         self: Arc<Self>,
--- a/crates/bilberry-entry/src/plain/attempt.rs
+++ b/crates/bilberry-entry/src/plain/attempt.rs
@@ -17,8 +17,8 @@
 use crate::ApiError;
 use crate::Entry;
 use crate::ErrorKind;
-use crate::Knowledge;
 use crate::RouteRequest;
+use crate::UpstreamProber;
 use crate::entry::Admitted;
 use crate::plain::ServiceCall;
 
@@ -29,7 +29,7 @@
     Unknown(ApiError),
 }
 
-impl<P: Platform, K: Knowledge> Entry<P, K> {
+impl<P: Platform, K: UpstreamProber> Entry<P, K> {
     /// Makes one attempt at one upstream, which is added to `tried`.
     pub(super) async fn attempt(
         &self,
@@ -81,7 +81,7 @@
     }
 }
 
-fn route_request<P: Platform, K: Knowledge>(
+fn route_request<P: Platform, K: UpstreamProber>(
     admitted: &Admitted<P, K>,
     service_call: &ServiceCall,
     tried: &[Name],
@@ -104,7 +104,7 @@
     }
 }
 
-fn dispatch<P: Platform, K: Knowledge>(
+fn dispatch<P: Platform, K: UpstreamProber>(
     admitted: &Admitted<P, K>,
     service_call: &ServiceCall,
 ) -> Dispatch {
--- a/crates/bilberry-entry/src/plain/claimed.rs
+++ b/crates/bilberry-entry/src/plain/claimed.rs
@@ -13,7 +13,7 @@
 use crate::Claims;
 use crate::Entry;
 use crate::ErrorKind;
-use crate::Knowledge;
+use crate::UpstreamProber;
 use crate::entry::Admitted;
 use crate::plain::ServiceCall;
 use crate::plain::attempt::AttemptOutcome;
@@ -21,7 +21,7 @@
 use crate::replay::recorded_answer;
 use crate::replay::respond_to_repeat;
 
-impl<P: Platform, K: Knowledge> Entry<P, K> {
+impl<P: Platform, K: UpstreamProber> Entry<P, K> {
     /// Executes a non-repeatable call under a claim on its key.
     pub(super) async fn call_claimed(
         &self,
--- a/crates/bilberry-entry/src/router.rs
+++ b/crates/bilberry-entry/src/router.rs
@@ -28,11 +28,11 @@
 use bilberry_core::weights_version;
 use bilberry_node::Node;
 
-use crate::Answered;
 use crate::Explained;
-use crate::Knowledge;
-use crate::Question;
+use crate::ProbeQuery;
+use crate::ProbeResult;
 use crate::Target;
+use crate::UpstreamProber;
 
 /// The number of candidates to probe for each depth of the chain.
 const CANDIDATES_PER_DEPTH: usize = 1;
@@ -96,7 +96,7 @@
     pub chain: Chain,
 }
 
-impl<K: Knowledge> Router<K> {
+impl<K: UpstreamProber> Router<K> {
     /// Creates the router of an entry located at `place`.
     pub fn new(node: Arc<Node>, place: DataCentre, knowledge: K, probe_ms: u64) -> Self {
         Self {
@@ -212,7 +212,7 @@
         let positions = match pool.policy.as_str() {
             "round_robin" => vec![round_robin % targets.len()],
             "least_loaded" => self.least_in_flight(targets, round_robin),
-            _ if K::ASKS_ALL => (0..targets.len()).collect(),
+            _ if K::PROBES_ALL => (0..targets.len()).collect(),
             "rendezvous" => rank_by_longest_prefix(
                 configured_chain,
                 &self.load_candidates(targets),
@@ -270,7 +270,7 @@
             Target { is_ranked, ..target }
         });
         let probed: Vec<_> = probed.collect();
-        let question = Question {
+        let question = ProbeQuery {
             customer: &request.customer,
             priority: request.priority,
             prompt: &request.prompt,
@@ -291,7 +291,7 @@
         best.or_else(|| views.is_empty().then_some(0)).map(|at| ranked[at].index)
     }
 
-    fn record_answers(&self, probed: &[Target], answers: &[Answered]) {
+    fn record_answers(&self, probed: &[Target], answers: &[ProbeResult]) {
         let now = SystemClock.now();
         let mut states = self.states.lock().unwrap();
         for (at, target) in probed.iter().enumerate() {
--- a/crates/bilberry-entry/src/run.rs
+++ b/crates/bilberry-entry/src/run.rs
@@ -24,7 +24,7 @@
 use crate::ApiError;
 use crate::CompletionRequest;
 use crate::Entry;
-use crate::Knowledge;
+use crate::UpstreamProber;
 
 /// The maximum number of attempts per request.
 const MAX_ATTEMPTS: u32 = 4;
@@ -41,7 +41,7 @@
 /// A completion in progress.
 ///
 /// Dropping it cancels the current attempt, including its request at the engine.
-pub(crate) struct Run<P: Platform, K: Knowledge> {
+pub(crate) struct Run<P: Platform, K: UpstreamProber> {
     entry: Arc<Entry<P, K>>,
     params: RunParams,
     cursor: StreamCursor,
@@ -72,7 +72,7 @@
     pub(crate) deadline: UnixMs,
 }
 
-impl<P: Platform, K: Knowledge> Run<P, K> {
+impl<P: Platform, K: UpstreamProber> Run<P, K> {
     pub(crate) fn new(entry: Arc<Entry<P, K>>, params: RunParams) -> Self {
         entry.node.metrics.requests.inc();
         entry.retry_budget.lock().unwrap().add_credit();
--- a/crates/bilberry-entry/src/run/attempt.rs
+++ b/crates/bilberry-entry/src/run/attempt.rs
@@ -16,8 +16,8 @@
 use crate::ApiError;
 use crate::Choice;
 use crate::Entry;
-use crate::Knowledge;
 use crate::RouteRequest;
+use crate::UpstreamProber;
 use crate::run::Run;
 
 /// The maximum number of waits per request for lost upstreams to become available.
@@ -27,19 +27,19 @@
 const LOST_UPSTREAM_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// The current attempt.
-pub(super) struct Attempt<P: Platform, K: Knowledge> {
+pub(super) struct Attempt<P: Platform, K: UpstreamProber> {
     pub(super) entry: Arc<Entry<P, K>>,
     pub(super) upstream: Name,
     pub(super) call: Call,
 }
 
-impl<P: Platform, K: Knowledge> Drop for Attempt<P, K> {
+impl<P: Platform, K: UpstreamProber> Drop for Attempt<P, K> {
     fn drop(&mut self) {
         self.entry.router.record_end(&self.upstream);
     }
 }
 
-impl<P: Platform, K: Knowledge> Run<P, K> {
+impl<P: Platform, K: UpstreamProber> Run<P, K> {
     /// Routes the request and dispatches it to a sidecar.
     pub(super) async fn start_attempt(&mut self) -> Result<(), ApiError> {
         loop {
--- a/crates/bilberry-entry/src/run/errors.rs
+++ b/crates/bilberry-entry/src/run/errors.rs
@@ -6,13 +6,13 @@
 
 use crate::ApiError;
 use crate::ErrorKind;
-use crate::Knowledge;
+use crate::UpstreamProber;
 use crate::run::Run;
 
 /// The base of the retry delay when no upstream accepts the request.
 const NO_UPSTREAM_RETRY_AFTER_MS: u64 = 1_000;
 
-impl<P: Platform, K: Knowledge> Run<P, K> {
+impl<P: Platform, K: UpstreamProber> Run<P, K> {
     pub(super) fn lost_error(&self, reason: &str) -> ApiError {
         let message = format!("the answer was lost and could not be resumed: {reason}");
         let error = ApiError::may_have_run("upstream_lost", message)
--- a/crates/bilberry-entry/tests/collect.rs
+++ b/crates/bilberry-entry/tests/collect.rs
@@ -8,8 +8,8 @@
 use bilberry_core::Name;
 use bilberry_core::ProbeView;
 use bilberry_core::Scope;
-use bilberry_entry::Answered;
-use bilberry_entry::Question;
+use bilberry_entry::ProbeQuery;
+use bilberry_entry::ProbeResult;
 use bilberry_entry::collect_answers;
 use bilberry_wire::Readiness;
 use futures_util::stream::FuturesUnordered;
@@ -24,8 +24,8 @@
 const STALL_DURATION: Duration = Duration::from_millis(60);
 
 /// Returns the answer of an upstream that holds `held_blocks` blocks of the prompt.
-fn answer(target: usize, held_blocks: u64) -> Answered {
-    Answered {
+fn answer(target: usize, held_blocks: u64) -> ProbeResult {
+    ProbeResult {
         target,
         view: ProbeView {
             upstream: format!("engine-{target}").into(),
@@ -60,7 +60,7 @@
         weights: "w1".into(),
     };
     let chain = Chain::new(&scope.salt(), &"a long prompt ".repeat(300));
-    let question = Question {
+    let question = ProbeQuery {
         customer: &Name::from("anna"),
         priority: 0,
         prompt: "",
--- a/crates/bilberry-load/src/exact.rs
+++ b/crates/bilberry-load/src/exact.rs
@@ -4,31 +4,38 @@
 use std::sync::Arc;
 
 use bilberry_core::Scope;
-use bilberry_entry::Answered;
-use bilberry_entry::Knowledge;
-use bilberry_entry::Probing;
-use bilberry_entry::Question;
+use bilberry_entry::ProbeQuery;
+use bilberry_entry::ProbeResult;
+use bilberry_entry::SidecarProber;
 use bilberry_entry::Target;
+use bilberry_entry::UpstreamProber;
 use bilberry_node::PeerPool;
 use bilberry_standins::EngineStandin;
 
 /// Asks every sidecar for its waiting time and reads every engine's cache.
 pub struct Exact {
-    probing: Probing,
+    probing: SidecarProber,
     engines: HashMap<String, Arc<EngineStandin>>,
 }
 
 impl Exact {
     /// Creates the bound for engines that run in this process.
     pub fn new(links: PeerPool, engines: Vec<(String, Arc<EngineStandin>)>) -> Self {
-        Self { probing: Probing::new(links), engines: engines.into_iter().collect() }
+        Self {
+            probing: SidecarProber::new(links),
+            engines: engines.into_iter().collect(),
+        }
     }
 }
 
-impl Knowledge for Exact {
-    const ASKS_ALL: bool = true;
+impl UpstreamProber for Exact {
+    const PROBES_ALL: bool = true;
 
-    async fn ask(&self, targets: &[Target], question: &Question<'_>) -> Vec<Answered> {
+    async fn ask(
+        &self,
+        targets: &[Target],
+        question: &ProbeQuery<'_>,
+    ) -> Vec<ProbeResult> {
         let mut answers = self.probing.ask(targets, question).await;
         for answer in &mut answers {
             let target = &targets[answer.target];
--- a/crates/bilberry-sidecar/src/lib.rs
+++ b/crates/bilberry-sidecar/src/lib.rs
@@ -38,7 +38,7 @@
 pub use engine_http::HttpEngine;
 pub use permit::Pause;
 pub use permit::Permit;
-pub use plain::HttpPlain;
+pub use plain::HttpPlainService;
 pub use plain::PlainError;
 pub use plain::PlainRequest;
 pub use plain::PlainService;
--- a/crates/bilberry-sidecar/src/plain.rs
+++ b/crates/bilberry-sidecar/src/plain.rs
@@ -59,12 +59,12 @@
 
 /// A plain service over HTTP.
 #[derive(Debug, Clone)]
-pub struct HttpPlain {
+pub struct HttpPlainService {
     client: HttpClient,
     address: SocketAddr,
 }
 
-impl HttpPlain {
+impl HttpPlainService {
     /// Creates a client; does not connect yet.
     pub fn new(address: SocketAddr) -> Self {
         // Each call uses a new connection and is never retried by the client. If a
@@ -78,7 +78,7 @@
     }
 }
 
-impl PlainService for HttpPlain {
+impl PlainService for HttpPlainService {
     async fn call(&self, call: PlainRequest) -> Result<PlainAnswer, PlainError> {
         let mut request = Request::builder()
             .method(call.method.as_str())
--- a/crates/bilberryd/src/hosted.rs
+++ b/crates/bilberryd/src/hosted.rs
@@ -6,15 +6,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use bilberry_adapter::AnnouncedWeightsFollower;
 use bilberry_adapter::Claims;
 use bilberry_adapter::ConfigFollower;
 use bilberry_adapter::HostRole;
 use bilberry_adapter::HostSettings;
 use bilberry_adapter::HostsFollower;
 use bilberry_adapter::HttpEngine;
-use bilberry_adapter::NamedWeightsFollower;
+use bilberry_adapter::MAX_ORDER_DELAY_MS;
 use bilberry_adapter::NoHubs;
-use bilberry_adapter::ORDER_MS;
 use bilberry_adapter::ObjectStore;
 use bilberry_adapter::OrderSettings;
 use bilberry_adapter::PlatformDialect;
@@ -163,7 +163,7 @@
     let hosts =
         HostsFollower::new(gateway.clone(), settings.drain_ms, settings.heartbeat_ms);
     tokio::spawn(follow(store.clone(), gateway.clone(), clock, hosts));
-    let weights = NamedWeightsFollower::new(gateway.clone(), settings.settle_ms);
+    let weights = AnnouncedWeightsFollower::new(gateway.clone(), settings.settle_ms);
     tokio::spawn(follow(store.clone(), gateway.clone(), clock, weights));
     tokio::spawn(keep_reach(store, gateway.clone()));
     tokio::spawn(follow_sidecars(gateway.clone(), settings.peers_port));
@@ -212,7 +212,7 @@
     // Bind first: from now on no entry sends orders to this engine.
     let feed = bind("peers", SocketAddr::new(settings.bind, settings.peers_port)).await?;
     let first_order_delay_ms =
-        settings.lease_ms.map_or(0, |lease_ms| lease_ms + ORDER_MS);
+        settings.lease_ms.map_or(0, |lease_ms| lease_ms + MAX_ORDER_DELAY_MS);
     let first_order = Arc::new(OrderGate::at(clock.now().plus_ms(first_order_delay_ms)));
     // Use a separate client, so that long polling for cache events does not delay the
     // health checks of the engine.
--- a/crates/bilberryd/src/start.rs
+++ b/crates/bilberryd/src/start.rs
@@ -9,8 +9,8 @@
 use bilberry_entry::Admin;
 use bilberry_entry::Entry;
 use bilberry_entry::EntryLimits;
-use bilberry_entry::Knowledge;
-use bilberry_entry::Probing;
+use bilberry_entry::SidecarProber;
+use bilberry_entry::UpstreamProber;
 use bilberry_node::GracefulServer;
 use bilberry_node::HttpLimits;
 use bilberry_node::Node;
@@ -26,7 +26,7 @@
 use bilberry_node::start_sync;
 use bilberry_platform::HttpPlatform;
 use bilberry_sidecar::HttpEngine;
-use bilberry_sidecar::HttpPlain;
+use bilberry_sidecar::HttpPlainService;
 use bilberry_sidecar::Sidecar;
 use bilberry_wire::Member;
 use bilberry_wire::Role;
@@ -52,11 +52,11 @@
 
 /// Starts a process from its settings.
 pub async fn start(settings: Settings) -> Result<Process, StartError> {
-    start_with(settings, Probing::new).await
+    start_with(settings, SidecarProber::new).await
 }
 
 /// Starts a process whose entry uses the given source of upstream information.
-pub async fn start_with<K: Knowledge>(
+pub async fn start_with<K: UpstreamProber>(
     settings: Settings,
     knowledge: impl FnOnce(PeerPool) -> K,
 ) -> Result<Process, StartError> {
@@ -88,7 +88,7 @@
             self.platform.clone(),
             upstream.name.clone(),
             HttpEngine::new(upstream.address),
-            HttpPlain::new(upstream.address),
+            HttpPlainService::new(upstream.address),
         );
         sidecar.follow_upstream();
         let counter = sidecar.clone();
@@ -96,7 +96,7 @@
         Ok(self.run(sidecar, ActiveWork::Sidecar { in_progress }, None, None))
     }
 
-    async fn start_entry<K: Knowledge>(
+    async fn start_entry<K: UpstreamProber>(
         self,
         knowledge: impl FnOnce(PeerPool) -> K,
     ) -> Result<Process, StartError> {
--- a/tests/src/fleet.rs
+++ b/tests/src/fleet.rs
@@ -11,10 +11,10 @@
 use serde_json::json;
 
 use crate::Caller;
+use crate::ChildProcess;
 use crate::FaultProxy;
-use crate::Plan;
+use crate::FleetConfig;
 use crate::Reply;
-use crate::Running;
 use crate::send;
 
 /// The bearer token of the administrator.
@@ -26,26 +26,27 @@
 #[derive(Debug)]
 pub struct Fleet {
     /// The entries.
-    pub entries: Vec<Running>,
+    pub entries: Vec<ChildProcess>,
     /// The sidecars, one beside each upstream.
-    pub sidecars: Vec<Running>,
+    pub sidecars: Vec<ChildProcess>,
     /// The upstreams.
-    pub upstreams: Vec<Running>,
+    pub upstreams: Vec<ChildProcess>,
     /// The fault proxies in front of the sidecars, if configured.
     pub links: Vec<FaultProxy>,
     /// The fault proxy in front of the platform, if configured.
     pub platform_link: Option<FaultProxy>,
     /// The platform.
-    pub platform: Running,
+    pub platform: ChildProcess,
     /// The configuration of the fleet.
-    pub plan: Plan,
+    pub plan: FleetConfig,
     directory: PathBuf,
 }
 
 impl Fleet {
     /// Starts the configured processes and waits until the fleet can serve requests.
-    pub async fn start(plan: Plan) -> Self {
-        let platform = Running::start("bilberry-standin", vec!["platform".to_string()]);
+    pub async fn start(plan: FleetConfig) -> Self {
+        let platform =
+            ChildProcess::start("bilberry-standin", vec!["platform".to_string()]);
         let mut platform_link = None;
         if plan.proxied_platform {
             platform_link = Some(FaultProxy::start(platform.address("address")).await);
@@ -115,7 +116,7 @@
     }
 
     /// Sets the injected faults of a stand-in.
-    pub async fn set_faults<T: Serialize>(&self, standin: &Running, faults: &T) {
+    pub async fn set_faults<T: Serialize>(&self, standin: &ChildProcess, faults: &T) {
         let url = format!("http://{}/standin/faults", standin.address("address"));
         let body = serde_json::to_string(faults).expect("faults serialise");
         send("PUT", &url, &[], body).await.expect("a stand-in answers");
--- a/tests/src/fleet/launch.rs
+++ b/tests/src/fleet/launch.rs
@@ -4,21 +4,21 @@
 use std::path::Path;
 use std::path::PathBuf;
 
+use crate::ChildProcess;
 use crate::FaultProxy;
 use crate::Fleet;
-use crate::Running;
 use crate::fleet::TOKEN;
 use crate::process::free_address;
 
 impl Fleet {
     /// Starts a second sidecar for an upstream, as a replacement for the first.
-    pub fn start_second_sidecar(&self, at: usize) -> Running {
+    pub fn start_second_sidecar(&self, at: usize) -> ChildProcess {
         let upstream = self.upstreams[at].address("address");
         let settings = self.settings(at, Some(upstream), None);
         let name = format!("sidecar-{}", self.upstream_name(at));
         let settings = settings.replace(&name, &format!("{name}-second"));
         let path = self.write_settings(&format!("{name}-second"), &settings);
-        Running::start("bilberryd", arguments(&path))
+        ChildProcess::start("bilberryd", arguments(&path))
     }
 
     /// Kills an entry, restarts it on the same addresses and waits until it is ready.
@@ -28,10 +28,10 @@
         self.wait_ready(&self.entries[at]).await;
     }
 
-    pub(super) fn start_entry(&self, at: usize) -> Running {
+    pub(super) fn start_entry(&self, at: usize) -> ChildProcess {
         let settings = self.settings(at, None, None);
         let path = self.write_settings(&format!("entry-{at}"), &settings);
-        Running::start("bilberryd", arguments(&path))
+        ChildProcess::start("bilberryd", arguments(&path))
     }
 
     pub(super) async fn start_upstreams(&mut self) {
@@ -41,9 +41,11 @@
                     let traits = serde_json::to_string(traits).expect("traits serialise");
                     let arguments =
                         vec!["engine".to_string(), "--traits".to_string(), traits];
-                    Running::start("bilberry-standin", arguments)
+                    ChildProcess::start("bilberry-standin", arguments)
+                }
+                None => {
+                    ChildProcess::start("bilberry-standin", vec!["service".to_string()])
                 }
-                None => Running::start("bilberry-standin", vec!["service".to_string()]),
             };
             let address = upstream.address("address");
             self.upstreams.push(upstream);
@@ -56,7 +58,7 @@
         let settings = self.settings(at, Some(upstream), advertise);
         let name = self.upstream_name(at);
         let path = self.write_settings(&format!("sidecar-{name}"), &settings);
-        let running = Running::start("bilberryd", arguments(&path));
+        let running = ChildProcess::start("bilberryd", arguments(&path));
         if let Some(address) = advertise {
             let link = FaultProxy::start_at(address, running.address("peers")).await;
             self.links.push(link);
--- a/tests/src/fleet/observe.rs
+++ b/tests/src/fleet/observe.rs
@@ -6,8 +6,8 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
+use crate::ChildProcess;
 use crate::Fleet;
-use crate::Running;
 use crate::eventually;
 use crate::send;
 
@@ -60,7 +60,7 @@
     }
 
     /// Returns the first metric of a process whose line starts with `name`.
-    pub async fn metric(&self, process: &Running, name: &str) -> Option<f64> {
+    pub async fn metric(&self, process: &ChildProcess, name: &str) -> Option<f64> {
         let url = format!("http://{}/metrics", process.address("operations"));
         let reply = send("GET", &url, &[], "").await.ok()?;
         let text = String::from_utf8_lossy(&reply.body).into_owned();
@@ -91,7 +91,7 @@
     }
 
     /// Waits until a process reports ready on `/readyz`.
-    pub async fn wait_ready(&self, process: &Running) {
+    pub async fn wait_ready(&self, process: &ChildProcess) {
         let url = format!("http://{}/readyz", process.address("operations"));
         eventually("a process gets ready", || async {
             let reply = send("GET", &url, &[], "").await.ok()?;
@@ -101,7 +101,7 @@
     }
 
     /// Waits until a process has applied `revision` or a later one.
-    pub async fn wait_revision(&self, process: &Running, revision: u64) {
+    pub async fn wait_revision(&self, process: &ChildProcess, revision: u64) {
         eventually("a revision gets in force", || async {
             let found = self.metric(process, "bilberry_config_revision").await?;
             (found >= revision as f64).then_some(())
@@ -109,7 +109,7 @@
         .await;
     }
 
-    async fn counters<T: DeserializeOwned>(&self, standin: &Running) -> T {
+    async fn counters<T: DeserializeOwned>(&self, standin: &ChildProcess) -> T {
         let url = format!("http://{}/standin/counters", standin.address("address"));
         let reply = send("GET", &url, &[], "").await.expect("a stand-in answers");
         serde_json::from_slice(&reply.body).expect("counters are JSON")
--- a/tests/src/lib.rs
+++ b/tests/src/lib.rs
@@ -16,8 +16,8 @@
 pub use http::Reply;
 pub use http::get;
 pub use http::send;
-pub use plan::Plan;
-pub use process::Running;
+pub use plan::FleetConfig;
+pub use process::ChildProcess;
 pub use process::program_path;
 pub use proxy::FaultProxy;
 
@@ -26,13 +26,13 @@
 use tokio::time::Instant;
 
 /// Timeout for any condition that a test waits for.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Polls `check` until it returns a value.
 ///
-/// Panics with `what` after [`PATIENCE`].
+/// Panics with `what` after [`WAIT_TIMEOUT`].
 pub async fn eventually<T>(what: &str, mut check: impl AsyncFnMut() -> Option<T>) -> T {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(found) = check().await {
             return found;
--- a/tests/src/plan.rs
+++ b/tests/src/plan.rs
@@ -6,7 +6,7 @@
 
 /// Configuration of a test fleet.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct FleetConfig {
     /// Number of entries.
     pub entries: usize,
     /// The engines, each with a sidecar.
@@ -33,7 +33,7 @@
     pub weights: String,
 }
 
-impl Default for Plan {
+impl Default for FleetConfig {
     fn default() -> Self {
         Self {
             entries: 1,
@@ -55,7 +55,7 @@
     }
 }
 
-impl Plan {
+impl FleetConfig {
     /// Returns a plan with `count` identical engines.
     pub fn engines(count: usize) -> Self {
         Self { engines: vec![EngineTraits::default(); count], ..Self::default() }
--- a/tests/src/process.rs
+++ b/tests/src/process.rs
@@ -19,7 +19,7 @@
 use nix::sys::signal::kill;
 use nix::unistd::Pid;
 
-use crate::PATIENCE;
+use crate::WAIT_TIMEOUT;
 
 /// First port of the range that tests allocate from.
 const FIRST_PORT: u32 = 10_000;
@@ -29,7 +29,7 @@
 
 /// A child process of a test, killed on drop.
 #[derive(Debug)]
-pub struct Running {
+pub struct ChildProcess {
     child: Child,
     log: PathBuf,
     program: &'static str,
@@ -37,7 +37,7 @@
     addresses: BTreeMap<String, SocketAddr>,
 }
 
-impl Running {
+impl ChildProcess {
     /// Starts a workspace binary and waits until it prints its listening addresses.
     pub fn start(program: &'static str, arguments: Vec<String>) -> Self {
         let log = log_path(program);
@@ -80,7 +80,7 @@
 
     /// Waits for the process to exit.
     pub async fn ended(&mut self) -> ExitStatus {
-        let until = tokio::time::Instant::now() + PATIENCE;
+        let until = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return status;
@@ -95,7 +95,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for ChildProcess {
     fn drop(&mut self) {
         self.kill();
         if std::thread::panicking() {
--- a/tests/tests/at_most_once.rs
+++ b/tests/tests/at_most_once.rs
@@ -8,7 +8,7 @@
 use bilberry_standins::ServiceFaults;
 use bilberry_tests::Caller;
 use bilberry_tests::Fleet;
-use bilberry_tests::Plan;
+use bilberry_tests::FleetConfig;
 use bilberry_tests::Reply;
 use bilberry_tests::eventually;
 use bilberry_wire::Body;
@@ -22,7 +22,12 @@
 /// Starts two entries and two servers of one service, with fault proxies in front
 /// of the sidecars.
 async fn fleet() -> Fleet {
-    Fleet::start(Plan { entries: 2, proxied_sidecars: true, ..Plan::services(2) }).await
+    Fleet::start(FleetConfig {
+        entries: 2,
+        proxied_sidecars: true,
+        ..FleetConfig::services(2)
+    })
+    .await
 }
 
 /// Returns the run state that a response reports.
--- a/tests/tests/bad_input.rs
+++ b/tests/tests/bad_input.rs
@@ -4,7 +4,7 @@
 use bilberry_standins::EngineTraits;
 use bilberry_tests::Caller;
 use bilberry_tests::Fleet;
-use bilberry_tests::Plan;
+use bilberry_tests::FleetConfig;
 use bilberry_tests::Reply;
 use bilberry_tests::eventually;
 use insta::assert_snapshot;
@@ -34,7 +34,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_that_are_wrong_are_told_why() {
     let limits = "body_bytes = 2000".to_string();
-    let fleet = Fleet::start(Plan { limits, ..Plan::default() }).await;
+    let fleet = Fleet::start(FleetConfig { limits, ..FleetConfig::default() }).await;
     let caller = fleet.caller(0, "anna");
     let valid_body =
         json!({ "model": "m", "messages": [{ "role": "user", "content": "?" }] });
@@ -84,8 +84,11 @@
     let anna = ("anna".to_string(), "rate_per_s = 1\n".to_string());
     let ben = ("ben".to_string(), "concurrency = 1\n".to_string());
     let traits = EngineTraits { token_us: 50_000, ..EngineTraits::default() };
-    let plan =
-        Plan { customers: vec![anna, ben], engines: vec![traits], ..Plan::default() };
+    let plan = FleetConfig {
+        customers: vec![anna, ben],
+        engines: vec![traits],
+        ..FleetConfig::default()
+    };
     let fleet = Fleet::start(plan).await;
     let body = json!({ "model": "m", "prompt": "?", "max_tokens": 1 }).to_string();
 
@@ -102,14 +105,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn models_are_those_of_the_customer() {
-    let fleet = Fleet::start(Plan::default()).await;
+    let fleet = Fleet::start(FleetConfig::default()).await;
     let reply = fleet.caller(0, "anna").send("GET", "/v1/models", &[], "").await;
     assert_snapshot!(reply.expect("an answer").json(), @r#"{"data":[{"id":"m","object":"model","owned_by":"bilberrypaddle"}],"object":"list"}"#);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_that_is_not_streamed_comes_with_its_usage() {
-    let fleet = Fleet::start(Plan::default()).await;
+    let fleet = Fleet::start(FleetConfig::default()).await;
     let caller = fleet.caller(0, "anna");
     let prompt = "style ".repeat(200);
     let body = json!({ "model": "m", "prompt": prompt, "max_tokens": 2 }).to_string();
@@ -140,7 +143,7 @@
     // The caller sends a 20 kB head, or an incomplete one. Without limits each such
     // connection would hold memory and a connection slot forever.
     let limits = "header_bytes = 8192\nheader_ms = 200".to_string();
-    let fleet = Fleet::start(Plan { limits, ..Plan::default() }).await;
+    let fleet = Fleet::start(FleetConfig { limits, ..FleetConfig::default() }).await;
     let oversized_head =
         format!("GET /v1/models HTTP/1.1\r\nx: {}\r\n\r\n", "y".repeat(20_000));
     assert_snapshot!(send_raw(&fleet, oversized_head.as_bytes()).await, @"HTTP/1.1 431 Request Header Fields Too Large");
@@ -150,9 +153,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_that_comes_too_slowly_is_refused() {
-    let fleet =
-        Fleet::start(Plan { limits: "body_ms = 200".to_string(), ..Plan::default() })
-            .await;
+    let fleet = Fleet::start(FleetConfig {
+        limits: "body_ms = 200".to_string(),
+        ..FleetConfig::default()
+    })
+    .await;
     let head = "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\
                 authorization: Bearer key-anna\r\nconnection: close\r\n\r\n{";
     assert_snapshot!(send_raw(&fleet, head.as_bytes()).await, @"HTTP/1.1 408 Request Timeout");
@@ -163,7 +168,9 @@
     // The caller closes its connection in mid-stream. The entry and the sidecar
     // cancel the request, and the engine stops generating.
     let traits = EngineTraits { token_us: 20_000, ..EngineTraits::default() };
-    let fleet = Fleet::start(Plan { engines: vec![traits], ..Plan::default() }).await;
+    let fleet =
+        Fleet::start(FleetConfig { engines: vec![traits], ..FleetConfig::default() })
+            .await;
     let mut stream = fleet.caller(0, "anna").start("a long answer", 1_000).await;
     stream.read_tokens(2).await;
     drop(stream);
@@ -190,8 +197,12 @@
         ..EngineTraits::default()
     };
     let limits = "unread_ms = 200".to_string();
-    let fleet =
-        Fleet::start(Plan { engines: vec![traits], limits, ..Plan::default() }).await;
+    let fleet = Fleet::start(FleetConfig {
+        engines: vec![traits],
+        limits,
+        ..FleetConfig::default()
+    })
+    .await;
     let body =
         json!({ "model": "m", "prompt": "?", "max_tokens": 60_000, "stream": true });
     let body = body.to_string();
--- a/tests/tests/cached_state.rs
+++ b/tests/tests/cached_state.rs
@@ -3,7 +3,7 @@
 use bilberry_standins::EngineFaults;
 use bilberry_standins::EngineTraits;
 use bilberry_tests::Fleet;
-use bilberry_tests::Plan;
+use bilberry_tests::FleetConfig;
 use bilberry_tests::eventually;
 use bilberry_tests::get;
 use bilberry_tests::send;
@@ -44,7 +44,7 @@
     // Two customers send the same long prompt. The second must not hit blocks of the
     // first, because the time to first token would reveal what the first one sent.
     // The engine tags blocks by user and counts violations.
-    let fleet = Fleet::start(Plan::default()).await;
+    let fleet = Fleet::start(FleetConfig::default()).await;
     for _ in 0..2 {
         assert!(fleet.caller(0, "anna").complete(&long_prefix(), 2).await.done);
     }
@@ -61,7 +61,7 @@
     // Ben sends the cache salt of Anna's blocks and fields that raise his priority.
     // The entry removes such fields; otherwise the engine would serve him from her
     // blocks.
-    let fleet = Fleet::start(Plan::default()).await;
+    let fleet = Fleet::start(FleetConfig::default()).await;
     let scope = bilberry_core::Scope {
         customer: "anna".into(),
         model: "m".into(),
@@ -86,7 +86,9 @@
     // a salt for the older weights are restarted before any output is sent, so no
     // answer is computed from older blocks.
     let traits = EngineTraits { load_ms: 5, ..EngineTraits::default() };
-    let fleet = Fleet::start(Plan { engines: vec![traits; 2], ..Plan::default() }).await;
+    let fleet =
+        Fleet::start(FleetConfig { engines: vec![traits; 2], ..FleetConfig::default() })
+            .await;
     let callers: Vec<_> = (0..8)
         .map(|at| {
             let caller = fleet.caller(0, "anna");
@@ -120,7 +122,7 @@
     // The engine crashes and restarts with an empty cache between two requests. Its
     // sidecar detects the new incarnation and clears its index; otherwise requests
     // would be routed to an engine that recomputes the whole prompt.
-    let fleet = Fleet::start(Plan::default()).await;
+    let fleet = Fleet::start(FleetConfig::default()).await;
     assert!(fleet.caller(0, "anna").complete(&long_prefix(), 2).await.done);
     assert!(wait_index_synced(&fleet, 0).await > 0);
     let address = fleet.upstreams[0].address("address");
@@ -137,7 +139,9 @@
     // The engine crashes between probe and answer. The stream is interrupted and
     // resumed by the other engine, which has no cached blocks of this prompt.
     let traits = EngineTraits { token_us: 10_000, ..EngineTraits::default() };
-    let fleet = Fleet::start(Plan { engines: vec![traits; 2], ..Plan::default() }).await;
+    let fleet =
+        Fleet::start(FleetConfig { engines: vec![traits; 2], ..FleetConfig::default() })
+            .await;
     let mut stream = fleet.caller(0, "anna").start(&long_prefix(), 30).await;
     stream.read_tokens(3).await;
     for engine in 0..2 {
@@ -158,7 +162,9 @@
     // uncertain, and the sidecar fetches it again. Otherwise lost evictions would
     // leave evicted blocks in the index for the lifetime of the engine.
     let traits = EngineTraits { cache_blocks: 40, ..EngineTraits::default() };
-    let fleet = Fleet::start(Plan { engines: vec![traits], ..Plan::default() }).await;
+    let fleet =
+        Fleet::start(FleetConfig { engines: vec![traits], ..FleetConfig::default() })
+            .await;
     let faults = EngineFaults { lose_every: 7, ..EngineFaults::default() };
     fleet.set_faults(&fleet.upstreams[0], &faults).await;
     let caller = fleet.caller(0, "anna");
--- a/tests/tests/configuration.rs
+++ b/tests/tests/configuration.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use bilberry_standins::PlatformFaults;
+use bilberry_tests::ChildProcess;
 use bilberry_tests::Fleet;
-use bilberry_tests::Plan;
-use bilberry_tests::Running;
+use bilberry_tests::FleetConfig;
 use bilberry_tests::eventually;
 use serde_json::Value;
 use tokio::time::Instant;
@@ -22,7 +22,7 @@
     fleet.apply(entry, &[("10-tests.toml", &piece(fleet, comment))]).await
 }
 
-async fn revision(fleet: &Fleet, process: &Running) -> u64 {
+async fn revision(fleet: &Fleet, process: &ChildProcess) -> u64 {
     fleet.metric(process, "bilberry_config_revision").await.unwrap_or(0.0) as u64
 }
 
@@ -38,7 +38,7 @@
     // Ten operators apply concurrently through two entries. The head is moved by a
     // conditional update, so each revision has one author; the others receive the
     // winner's revision and retry.
-    let fleet = Fleet::start(Plan { entries: 2, ..Plan::default() }).await;
+    let fleet = Fleet::start(FleetConfig { entries: 2, ..FleetConfig::default() }).await;
     let applies = (0..10).map(|at| async move { (at, at % 2) });
     let mut running = Vec::new();
     for apply_of in applies {
@@ -82,7 +82,7 @@
     // The platform moves the head, but its response is lost. The entry reads the head
     // back, finds its own token and reports success. If it reported a conflict, the
     // operator would apply the same change again.
-    let fleet = Fleet::start(Plan::default()).await;
+    let fleet = Fleet::start(FleetConfig::default()).await;
     let faults = PlatformFaults {
         lose_answers: 1,
         lose_prefix: "config/head".to_string(),
@@ -97,7 +97,7 @@
 async fn a_change_accepted_just_before_an_outage_reaches_everyone() {
     // The platform fails right after it accepted the change. One entry has the
     // change; the other processes fetch it from their peers.
-    let fleet = Fleet::start(Plan { entries: 3, ..Plan::engines(3) }).await;
+    let fleet = Fleet::start(FleetConfig { entries: 3, ..FleetConfig::engines(3) }).await;
     let down = PlatformFaults { down: true, ..PlatformFaults::default() };
     let accepted = apply(&fleet, 0, "before the outage").await;
     fleet.set_faults(&fleet.platform, &down).await;
@@ -110,7 +110,7 @@
     // An entry is suspended, two changes are accepted, and the platform fails. The
     // entry resumes with stale watches and responses in its sockets. It must reach
     // the last change and never report a lower revision than before.
-    let fleet = Fleet::start(Plan { entries: 2, ..Plan::engines(2) }).await;
+    let fleet = Fleet::start(FleetConfig { entries: 2, ..FleetConfig::engines(2) }).await;
     fleet.entries[1].freeze();
     assert_eq!(apply(&fleet, 0, "one").await, Ok(2));
     assert_eq!(apply(&fleet, 0, "two").await, Ok(3));
@@ -131,7 +131,8 @@
 async fn a_restart_during_an_outage_starts_from_peers() {
     // An entry is replaced while the platform is down. It starts without state,
     // fetches the current revision from its peers and serves callers immediately.
-    let mut fleet = Fleet::start(Plan { entries: 2, ..Plan::engines(2) }).await;
+    let mut fleet =
+        Fleet::start(FleetConfig { entries: 2, ..FleetConfig::engines(2) }).await;
     assert_eq!(apply(&fleet, 0, "two").await, Ok(2));
     assert_in_force(&fleet, 2, Instant::now()).await;
     let down = PlatformFaults { down: true, ..PlatformFaults::default() };
@@ -143,7 +144,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_apply_during_an_outage_changes_nothing_and_says_so() {
-    let fleet = Fleet::start(Plan::default()).await;
+    let fleet = Fleet::start(FleetConfig::default()).await;
     let down = PlatformFaults { down: true, ..PlatformFaults::default() };
     fleet.set_faults(&fleet.platform, &down).await;
     let refused = apply(&fleet, 0, "outage").await.expect_err("refused");
--- a/tests/tests/leaving.rs
+++ b/tests/tests/leaving.rs
@@ -5,7 +5,7 @@
 use bilberry_standins::EngineTraits;
 use bilberry_standins::expected_answer;
 use bilberry_tests::Fleet;
-use bilberry_tests::Plan;
+use bilberry_tests::FleetConfig;
 use bilberry_tests::Streaming;
 use bilberry_tests::eventually;
 use tokio::time::Instant;
@@ -14,9 +14,9 @@
 const MAX_DRAIN_DELAY: Duration = Duration::from_secs(3);
 
 /// Starts two entries and three engines that generate a token every 5 ms.
-async fn fleet(plan: Plan) -> Fleet {
+async fn fleet(plan: FleetConfig) -> Fleet {
     let traits = EngineTraits { token_us: 5_000, ..EngineTraits::default() };
-    Fleet::start(Plan { entries: 2, engines: vec![traits; 3], ..plan }).await
+    Fleet::start(FleetConfig { entries: 2, engines: vec![traits; 3], ..plan }).await
 }
 
 /// Sends one request through each entry and asserts that each answer is complete.
@@ -80,7 +80,7 @@
 async fn a_drained_upstream_gets_no_new_work_and_ends_what_it_has() {
     // An operator drains an engine that is generating an answer. The engine finishes
     // that answer, and new requests are routed elsewhere.
-    let fleet = fleet(Plan::default()).await;
+    let fleet = fleet(FleetConfig::default()).await;
     let mut stream = fleet.caller(0, "anna").start("a long answer", 100).await;
     stream.read_tokens(3).await;
     let mut at = 0;
@@ -101,7 +101,7 @@
     // The platform's list reports a leaving host with a delay of half a second. The
     // sidecar on it reads the list itself and rejects requests, even if entries are
     // not up to date.
-    let fleet = fleet(Plan::default()).await;
+    let fleet = fleet(FleetConfig::default()).await;
     let since = Instant::now();
     fleet.set_hosts(&[("host-e1", "leaving")], 500).await;
     ask_until_leaving(&fleet, 1, since).await;
@@ -113,7 +113,8 @@
     // The links to the drained sidecar fail right after the drain, so entries have
     // stale state. Once the links are restored, the sidecar itself rejects requests
     // from entries with stale state.
-    let mut fleet = fleet(Plan { proxied_sidecars: true, ..Plan::default() }).await;
+    let mut fleet =
+        fleet(FleetConfig { proxied_sidecars: true, ..FleetConfig::default() }).await;
     ask_once(&fleet, "before").await;
     let reply = fleet.admin(0, "POST", "/v1/upstreams/e2/drain", "").await;
     assert_eq!(reply.expect("an answer").status, 200);
@@ -129,7 +130,7 @@
 async fn a_planned_stop_of_an_entry_cuts_no_request() {
     // The entry receives `SIGTERM` in mid-stream. It finishes its requests, accepts no
     // new ones, and exits successfully.
-    let mut fleet = fleet(Plan::default()).await;
+    let mut fleet = fleet(FleetConfig::default()).await;
     let streams = start_streams(&fleet, 10, 1).await;
     fleet.entries[0].terminate();
     assert_all_complete(streams).await;
@@ -142,7 +143,7 @@
 async fn a_planned_stop_of_a_sidecar_cuts_no_request() {
     // The sidecar receives `SIGTERM` while it serves streams. They finish on the same
     // upstream instead of resuming elsewhere: no engine run is cancelled.
-    let mut fleet = fleet(Plan::default()).await;
+    let mut fleet = fleet(FleetConfig::default()).await;
     let streams = start_streams(&fleet, 12, 2).await;
     for at in 0..2 {
         fleet.sidecars[at].terminate();
@@ -160,7 +161,7 @@
     // A stream would run for minutes, but the settings limit shutdown to 300 ms. The
     // entry then interrupts the stream and reports that by its exit code.
     let limits = "stop_ms = 300".to_string();
-    let mut fleet = fleet(Plan { limits, ..Plan::default() }).await;
+    let mut fleet = fleet(FleetConfig { limits, ..FleetConfig::default() }).await;
     let mut stream = fleet.caller(0, "anna").start("a very long answer", 30_000).await;
     stream.read_tokens(1).await;
     let asked = Instant::now();
--- a/tests/tests/not_run.rs
+++ b/tests/tests/not_run.rs
@@ -6,7 +6,7 @@
 use bilberry_standins::EngineTraits;
 use bilberry_standins::ServiceFaults;
 use bilberry_tests::Fleet;
-use bilberry_tests::Plan;
+use bilberry_tests::FleetConfig;
 use bilberry_tests::Reply;
 use bilberry_tests::eventually;
 
@@ -35,7 +35,7 @@
     // The link refuses connections, or closes after a number of bytes in either
     // direction: during the hello, probe, dispatch or answer. The caller may be told
     // `not_run` only if the server did not run the call.
-    let plan = Plan { proxied_sidecars: true, ..Plan::services(1) };
+    let plan = FleetConfig { proxied_sidecars: true, ..FleetConfig::services(1) };
     let mut fleet = Fleet::start(plan).await;
     let caller = fleet.caller(0, "anna");
     fleet.links[0].cut().await;
@@ -78,7 +78,7 @@
 async fn a_dead_server_and_a_dead_sidecar_are_told_truly() {
     // First the server is killed, then its sidecar as well. A refused connection
     // proves that nothing was sent.
-    let mut fleet = Fleet::start(Plan::services(1)).await;
+    let mut fleet = Fleet::start(FleetConfig::services(1)).await;
     let caller = fleet.caller(0, "anna");
     fleet.upstreams[0].kill();
     let reply = caller.call_once("dead-server", "proof").await.expect("an answer");
@@ -92,8 +92,8 @@
 async fn a_full_queue_refuses_what_did_not_run() {
     // The only slot and the only queue place are taken; further calls are rejected
     // immediately with `Retry-After`, and the server never receives them.
-    let plan = Plan { services: 1, ..Plan::services(1) };
-    let piece = |plan: &Plan| {
+    let plan = FleetConfig { services: 1, ..FleetConfig::services(1) };
+    let piece = |plan: &FleetConfig| {
         let text = plan.piece();
         text.replace(
             "place = \"r/h\"",
@@ -132,7 +132,9 @@
     // engine.
     let traits =
         EngineTraits { token_us: 100_000, max_running: 1, ..EngineTraits::default() };
-    let fleet = Fleet::start(Plan { engines: vec![traits], ..Plan::default() }).await;
+    let fleet =
+        Fleet::start(FleetConfig { engines: vec![traits], ..FleetConfig::default() })
+            .await;
     let mut running = fleet.caller(0, "anna").start("a long answer", 30).await;
     running.read_tokens(1).await;
     let body = r#"{"model":"m","prompt":"short","max_tokens":1}"#;
--- a/tests/tests/operators.rs
+++ b/tests/tests/operators.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 
 use bilberry_tests::Fleet;
-use bilberry_tests::Plan;
+use bilberry_tests::FleetConfig;
 use bilberry_tests::eventually;
 use bilberry_tests::get;
 use insta::assert_snapshot;
@@ -24,7 +24,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_time_line_is_in_causal_order_over_all_processes() {
-    let fleet = Fleet::start(Plan::default()).await;
+    let fleet = Fleet::start(FleetConfig::default()).await;
     let caller = fleet.caller(0, "anna");
     let body = r#"{"model":"m","prompt":"Is this mark good?","max_tokens":2}"#;
     let headers = [("x-request-id", "my-request")];
@@ -45,7 +45,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_configuration_goes_through_diff_apply_status_and_history() {
-    let fleet = Fleet::start(Plan::default()).await;
+    let fleet = Fleet::start(FleetConfig::default()).await;
     let folder =
         std::env::temp_dir().join(format!("bilberry-ops-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -91,7 +91,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_piece_that_defines_what_another_defines_is_refused_with_both_files() {
-    let fleet = Fleet::start(Plan::default()).await;
+    let fleet = Fleet::start(FleetConfig::default()).await;
     let other = "owner = \"others\"\n[[pool]]\nname = \"engines\"\n";
     let refused =
         fleet.apply(0, &[("20-others.toml", other)]).await.expect_err("refused");
@@ -101,7 +101,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_administration_api_wants_a_token() {
-    let fleet = Fleet::start(Plan::default()).await;
+    let fleet = Fleet::start(FleetConfig::default()).await;
     let address = fleet.entries[0].address("administration");
     let reply = get(format!("http://{address}/v1/status"));
     let reply = reply.await.expect("an answer");
@@ -111,7 +111,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn health_and_metrics_are_shown() {
-    let mut fleet = Fleet::start(Plan::default()).await;
+    let mut fleet = Fleet::start(FleetConfig::default()).await;
     assert!(fleet.caller(0, "anna").complete("?", 2).await.done);
     let entry = &fleet.entries[0];
     assert_eq!(fleet.metric(entry, "bilberry_requests_total").await, Some(1.0));
--- a/tests/tests/orders.rs
+++ b/tests/tests/orders.rs
@@ -2,15 +2,15 @@
 
 use bilberry_standins::EngineTraits;
 use bilberry_standins::expected_answer;
+use bilberry_tests::ChildProcess;
 use bilberry_tests::Fleet;
-use bilberry_tests::Plan;
-use bilberry_tests::Running;
+use bilberry_tests::FleetConfig;
 use bilberry_tests::eventually;
 use bilberry_tests::get;
 
 /// Returns the fleet configuration with `weights` for the model.
 fn piece(fleet: &Fleet, weights: &str) -> String {
-    Plan { weights: weights.to_string(), ..fleet.plan.clone() }.piece()
+    FleetConfig { weights: weights.to_string(), ..fleet.plan.clone() }.piece()
 }
 
 async fn apply(fleet: &Fleet, weights: &str) -> Result<u64, String> {
@@ -33,23 +33,23 @@
 }
 
 /// Starts a weight store and a fleet whose engines load from it.
-async fn fleet_with_store(engines: usize, max_loads: usize) -> (Running, Fleet) {
-    let store = Running::start("bilberry-standin", vec!["weights".to_string()]);
+async fn fleet_with_store(engines: usize, max_loads: usize) -> (ChildProcess, Fleet) {
+    let store = ChildProcess::start("bilberry-standin", vec!["weights".to_string()]);
     let weight_store = Some(store.address("address"));
     let traits =
         EngineTraits { weight_store, token_us: 5_000, ..EngineTraits::default() };
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetConfig {
         entries: 2,
         engines: vec![traits; engines],
         pool: format!("max_loads = {max_loads}"),
         upstream: "checks_fencing = true".to_string(),
-        ..Plan::default()
+        ..FleetConfig::default()
     })
     .await;
     (store, fleet)
 }
 
-async fn max_concurrent_loads(store: &Running) -> u64 {
+async fn max_concurrent_loads(store: &ChildProcess) -> u64 {
     let address = store.address("address");
     let reply = get(format!("http://{address}/standin/counters")).await.expect("told");
     reply.json()["most_running"].as_u64().unwrap_or(0)
@@ -109,10 +109,10 @@
         token_us: 20_000,
         ..EngineTraits::default()
     };
-    let mut fleet = Fleet::start(Plan {
+    let mut fleet = Fleet::start(FleetConfig {
         engines: vec![traits],
         upstream: format!("checks_fencing = {checks_fencing}"),
-        ..Plan::default()
+        ..FleetConfig::default()
     })
     .await;
     // A running request delays the load between the lease and the order.
--- a/tests/tests/own_answers.rs
+++ b/tests/tests/own_answers.rs
@@ -12,7 +12,7 @@
 use bilberry_standins::expected_answer;
 use bilberry_tests::Answer;
 use bilberry_tests::Fleet;
-use bilberry_tests::Plan;
+use bilberry_tests::FleetConfig;
 use bilberry_tests::eventually;
 use bilberry_wire::Body;
 use bilberry_wire::Chunk;
@@ -33,12 +33,12 @@
     // caller must still receive the answer to its own prompt.
     let traits =
         EngineTraits { token_us: 5_000, max_running: 200, ..EngineTraits::default() };
-    let mut fleet = Fleet::start(Plan {
+    let mut fleet = Fleet::start(FleetConfig {
         entries: 2,
         engines: vec![traits; 3],
         proxied_sidecars: true,
         upstream: "max_running = 200\nqueue_limit = 400".to_string(),
-        ..Plan::default()
+        ..FleetConfig::default()
     })
     .await;
     let callers: Vec<_> = (0..CALLERS)
@@ -127,7 +127,8 @@
 
 /// Requests a completion from a fleet whose only sidecar is a fake one.
 async fn ask_fake_sidecar(fault: SidecarFault) -> Answer {
-    let fleet = Fleet::start(Plan { engines: Vec::new(), ..Plan::default() }).await;
+    let fleet =
+        Fleet::start(FleetConfig { engines: Vec::new(), ..FleetConfig::default() }).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let member = Member {
         process: "sidecar-e0".to_string(),
@@ -140,7 +141,7 @@
     tokio::spawn(serve_peers(node.clone(), listener, Arc::new(fault)));
     let platform = HttpPlatform::new(fleet.platform.address("address"), 500, 500);
     register(node, platform).await;
-    let piece = Plan::engines(1).piece();
+    let piece = FleetConfig::engines(1).piece();
     fleet.apply(0, &[("10-tests.toml", &piece)]).await.expect("applied");
     eventually("the fake sidecar is known", || async {
         let answer = fleet.caller(0, "anna").complete("?", 3).await;
--- a/tests/tests/platform_returns.rs
+++ b/tests/tests/platform_returns.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bilberry_tests::Fleet;
-use bilberry_tests::Plan;
+use bilberry_tests::FleetConfig;
 use bilberry_tests::send;
 use serde_json::Value;
 use tokio::time::Instant;
@@ -27,7 +27,8 @@
 /// Starts a fleet whose platform has lost the latest configuration; returns the
 /// revision of the lost configuration.
 async fn fleet_with_lost_configuration() -> (Fleet, u64) {
-    let fleet = Fleet::start(Plan { entries: 3, ..Plan::services(2) }).await;
+    let fleet =
+        Fleet::start(FleetConfig { entries: 3, ..FleetConfig::services(2) }).await;
     apply(&fleet, "kept").await;
     fleet.copy_platform().await;
     let lost = apply(&fleet, "lost").await;
--- a/tests/tests/policy.rs
+++ b/tests/tests/policy.rs
@@ -7,7 +7,7 @@
 use bilberry_standins::EngineTraits;
 use bilberry_standins::expected_answer;
 use bilberry_tests::Fleet;
-use bilberry_tests::Plan;
+use bilberry_tests::FleetConfig;
 
 /// Returns a unique prompt of about 800 tokens.
 fn unique_prompt(at: usize) -> String {
@@ -33,7 +33,7 @@
     // One of three engines fails every call immediately and so appears idle. The
     // circuit breaker of its sidecar opens after three failures, which probe answers
     // report. Every caller is served, and few calls are wasted.
-    let fleet = Fleet::start(Plan::engines(3)).await;
+    let fleet = Fleet::start(FleetConfig::engines(3)).await;
     let faults = EngineFaults { fail_fast: true, ..EngineFaults::default() };
     fleet.set_faults(&fleet.upstreams[0], &faults).await;
     let caller = fleet.caller(0, "anna");
@@ -53,7 +53,7 @@
 async fn a_slow_engine_gets_less_work() {
     // One of three engines is healthy but thirty times slower. Its sidecar estimates
     // the time per token, and the scores route requests to other engines.
-    let fleet = Fleet::start(Plan::engines(3)).await;
+    let fleet = Fleet::start(FleetConfig::engines(3)).await;
     let faults = EngineFaults { slowness: 30.0, ..EngineFaults::default() };
     fleet.set_faults(&fleet.upstreams[0], &faults).await;
     let caller = fleet.caller(0, "anna");
@@ -70,7 +70,9 @@
     // after four seconds without data, the stream resumes elsewhere, and missing
     // reports exclude the engine from new requests.
     let traits = EngineTraits { token_us: 10_000, ..EngineTraits::default() };
-    let fleet = Fleet::start(Plan { engines: vec![traits; 2], ..Plan::default() }).await;
+    let fleet =
+        Fleet::start(FleetConfig { engines: vec![traits; 2], ..FleetConfig::default() })
+            .await;
     let caller = fleet.caller(0, "anna");
     let mut stream = caller.start("a long answer", 50).await;
     stream.read_tokens(3).await;
@@ -96,10 +98,10 @@
     // retried on the other engine: the retry budget is a tenth of the traffic.
     let traits =
         EngineTraits { token_us: 50_000, max_running: 1, ..EngineTraits::default() };
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetConfig {
         engines: vec![traits; 2],
         upstream: "max_running = 1\nqueue_limit = 1".to_string(),
-        ..Plan::default()
+        ..FleetConfig::default()
     })
     .await;
     let running: Vec<_> = (0..40)
@@ -134,7 +136,9 @@
     // two slots; all of them must be queued. Guards against an inverted deadline
     // comparison that rejected every request that had to wait.
     let traits = EngineTraits { max_running: 2, ..EngineTraits::default() };
-    let fleet = Fleet::start(Plan { engines: vec![traits], ..Plan::default() }).await;
+    let fleet =
+        Fleet::start(FleetConfig { engines: vec![traits], ..FleetConfig::default() })
+            .await;
     let running: Vec<_> = (0..12)
         .map(|at| {
             let caller = fleet.caller(0, ["anna", "ben"][at % 2]);
@@ -159,7 +163,8 @@
     // a second time.
     let mut engines = vec![EngineTraits::default(); 6];
     engines[0].prefill_us_per_token = 25.0;
-    let fleet = Fleet::start(Plan { entries: 3, engines, ..Plan::default() }).await;
+    let fleet =
+        Fleet::start(FleetConfig { entries: 3, engines, ..FleetConfig::default() }).await;
     let prompts = 24;
     for at in 0..prompts {
         let caller = fleet.caller(at % 3, "anna");
@@ -183,7 +188,9 @@
     // it resumes, the answers are in its sockets but the probe timeout has expired
     // too. If it treated all probed sidecars as silent, the whole prompt would be
     // computed again.
-    let fleet = Fleet::start(Plan { proxied_sidecars: true, ..Plan::engines(6) }).await;
+    let fleet =
+        Fleet::start(FleetConfig { proxied_sidecars: true, ..FleetConfig::engines(6) })
+            .await;
     let caller = fleet.caller(0, "anna");
     let prompts = 24;
     for at in 0..prompts {
--- a/tests/tests/restarts.rs
+++ b/tests/tests/restarts.rs
@@ -2,7 +2,7 @@
 
 use bilberry_standins::PlatformFaults;
 use bilberry_tests::Fleet;
-use bilberry_tests::Plan;
+use bilberry_tests::FleetConfig;
 use tokio::time::Instant;
 
 /// Number of distinct prompt prefixes.
@@ -46,7 +46,8 @@
     // All entries are killed and restarted at once while the platform is down, so
     // they start without state. They fetch configuration and membership from their
     // peers; deterministic ranking and probe answers lead to the cached prefixes.
-    let mut fleet = Fleet::start(Plan { entries: 3, ..Plan::engines(6) }).await;
+    let mut fleet =
+        Fleet::start(FleetConfig { entries: 3, ..FleetConfig::engines(6) }).await;
     hit_ratio(&fleet, "first").await;
     let before = hit_ratio(&fleet, "second").await;
     show_decisions_if(before <= 0.9, &fleet).await;
@@ -74,7 +75,7 @@
 async fn an_outage_of_the_platform_leaves_idempotent_traffic_untouched() {
     // The platform first returns errors and then does not respond at all.
     // Completions do not depend on it, so the hit ratio must not drop.
-    let fleet = Fleet::start(Plan { entries: 2, ..Plan::engines(4) }).await;
+    let fleet = Fleet::start(FleetConfig { entries: 2, ..FleetConfig::engines(4) }).await;
     hit_ratio(&fleet, "first").await;
     let before = hit_ratio(&fleet, "second").await;
     for (what, faults) in [
--- a/tests/tests/streams.rs
+++ b/tests/tests/streams.rs
@@ -5,7 +5,7 @@
 use bilberry_standins::expected_answer;
 use bilberry_tests::Answer;
 use bilberry_tests::Fleet;
-use bilberry_tests::Plan;
+use bilberry_tests::FleetConfig;
 use bilberry_tests::eventually;
 
 /// Default prompt.
@@ -19,7 +19,12 @@
 async fn fleet(engines: usize) -> Fleet {
     let traits = EngineTraits { token_us: 10_000, ..EngineTraits::default() };
     let engines = vec![traits; engines];
-    Fleet::start(Plan { engines, proxied_sidecars: true, ..Plan::default() }).await
+    Fleet::start(FleetConfig {
+        engines,
+        proxied_sidecars: true,
+        ..FleetConfig::default()
+    })
+    .await
 }
 
 /// Returns the index of the engine that is running a request.
--- a/tests/tests/whole_path.rs
+++ b/tests/tests/whole_path.rs
@@ -2,11 +2,11 @@
 
 use bilberry_standins::expected_answer;
 use bilberry_tests::Fleet;
-use bilberry_tests::Plan;
+use bilberry_tests::FleetConfig;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_comes_in_order_and_whole() {
-    let fleet = Fleet::start(Plan::default()).await;
+    let fleet = Fleet::start(FleetConfig::default()).await;
     let answer = fleet.caller(0, "anna").complete("Is this mark good?", 32).await;
     assert_eq!(answer.text, expected_answer("Is this mark good?", "w1", 32));
     assert!(answer.done);
@@ -14,7 +14,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeated_prefix_is_found_cached() {
-    let fleet = Fleet::start(Plan::engines(3)).await;
+    let fleet = Fleet::start(FleetConfig::engines(3)).await;
     let style = "Our house style notes are long. ".repeat(200);
     let caller = fleet.caller(0, "anna");
     for question in 0..6 {
@@ -32,7 +32,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_plain_call_reaches_its_service() {
-    let fleet = Fleet::start(Plan::services(1)).await;
+    let fleet = Fleet::start(FleetConfig::services(1)).await;
     let caller = fleet.caller(0, "anna");
     let reply = caller.call_once("proof-7", "the proof").await.unwrap();
     assert_eq!(reply.status, 200);
