--- a/crates/bilberry-config/src/head.rs
+++ b/crates/bilberry-config/src/head.rs
@@ -85,7 +85,7 @@
     }
 
     /// Returns the pieces that remain when those of `owners` are replaced.
-    pub fn kept(&self, owners: &BTreeSet<Name>) -> Vec<PieceRef> {
+    pub fn other_owners_pieces(&self, owners: &BTreeSet<Name>) -> Vec<PieceRef> {
         let kept = self.pieces.iter().filter(|known| !owners.contains(&known.owner));
         kept.cloned().collect()
     }
--- a/crates/bilberry-entry/src/admin.rs
+++ b/crates/bilberry-entry/src/admin.rs
@@ -8,7 +8,7 @@
 use bilberry_core::Name;
 use bilberry_node::HttpHandler;
 use bilberry_node::ResponseBody;
-use bilberry_node::json_answer;
+use bilberry_node::json_response;
 use bilberry_node::read_body;
 use bilberry_platform::Platform;
 use bilberry_wire::Body;
@@ -154,5 +154,5 @@
 }
 
 fn ok<T: Serialize>(value: &T) -> Result<Response<ResponseBody>, ApiError> {
-    Ok(json_answer(StatusCode::OK, value))
+    Ok(json_response(StatusCode::OK, value))
 }
--- a/crates/bilberry-entry/src/admin_config.rs
+++ b/crates/bilberry-entry/src/admin_config.rs
@@ -21,7 +21,7 @@
 use bilberry_platform::Platform;
 use bilberry_platform::PlatformError;
 use bilberry_platform::WriteResult;
-use bilberry_platform::settle;
+use bilberry_platform::write_or_read_back;
 use bilberry_wire::Piece as WirePiece;
 use serde::Deserialize;
 use serde::Serialize;
@@ -95,7 +95,8 @@
         let text = serde_json::to_string(&head).expect("a head is serializable");
         let is_ours = |found: &str| found.contains(&token);
         let expected = checked.head_version;
-        let outcome = settle(&self.platform, HEAD_KEY, &text, expected, is_ours).await;
+        let outcome =
+            write_or_read_back(&self.platform, HEAD_KEY, &text, expected, is_ours).await;
         match outcome.map_err(outcome_unknown_error)? {
             WriteResult::Written(_) => {
                 self.install_applied(&text, checked.files);
@@ -107,7 +108,7 @@
 
     /// Returns the history of the active configuration.
     pub(crate) fn config_history(&self) -> Vec<RevisionRecord> {
-        self.node.config.in_force().head.history.clone()
+        self.node.config.active().head.history.clone()
     }
 
     async fn check_config(
@@ -130,7 +131,7 @@
         let owners = own.iter().map(|(piece, _)| piece.owner.clone()).collect();
         let changes = head.changes(&owners, &folder.files);
         let mut all = own;
-        for piece in head.kept(&owners) {
+        for piece in head.other_owners_pieces(&owners) {
             let parsed = self.stored_piece(&piece).await?;
             all.push((piece, parsed));
         }
@@ -169,7 +170,7 @@
 
     /// Parses a file, or returns the parsed piece if it is active already.
     fn parsed(&self, file: &PieceFile, hash: &str) -> Result<Arc<Piece>, ApiError> {
-        match self.node.config.in_force().pieces.get(hash) {
+        match self.node.config.active().pieces.get(hash) {
             Some(active) => Ok(active.parsed.clone()),
             None => {
                 let piece = Piece::parse(file);
@@ -179,7 +180,7 @@
     }
 
     async fn stored_piece(&self, piece: &PieceRef) -> Result<Arc<Piece>, ApiError> {
-        let active = self.node.config.in_force();
+        let active = self.node.config.active();
         if let Some(active) = active.pieces.get(&piece.hash) {
             return Ok(active.parsed.clone());
         }
@@ -194,7 +195,7 @@
         let key = format!("{PIECES_PREFIX}{}", hash_text(&file.text));
         // The key contains the hash of the piece, so an existing object is identical.
         let is_ours = |found: &str| found == file.text;
-        settle(&self.platform, &key, &file.text, 0, is_ours).await.map(|_| ())
+        write_or_read_back(&self.platform, &key, &file.text, 0, is_ours).await.map(|_| ())
     }
 
     fn install_applied(&self, head_text: &str, files: Vec<PieceFile>) {
--- a/crates/bilberry-entry/src/api_error.rs
+++ b/crates/bilberry-entry/src/api_error.rs
@@ -2,7 +2,7 @@
 
 use bilberry_core::RunState;
 use bilberry_node::ResponseBody;
-use bilberry_node::json_answer;
+use bilberry_node::json_response;
 use bilberry_wire::Refused;
 use hyper::Response;
 use hyper::StatusCode;
@@ -153,7 +153,7 @@
 
     /// Returns the HTTP response.
     pub fn response(&self) -> Response<ResponseBody> {
-        let mut response = json_answer(self.status(), &self.body());
+        let mut response = json_response(self.status(), &self.body());
         if let Some(ms) = self.retry_after_ms {
             let seconds = HeaderValue::from(ms.div_ceil(1_000));
             response.headers_mut().insert(RETRY_AFTER, seconds);
--- a/crates/bilberry-entry/src/claims.rs
+++ b/crates/bilberry-entry/src/claims.rs
@@ -12,7 +12,7 @@
 use bilberry_platform::Platform;
 use bilberry_platform::PlatformError;
 use bilberry_platform::WriteResult;
-use bilberry_platform::settle;
+use bilberry_platform::write_or_read_back;
 
 /// The key prefix of claim objects.
 const CLAIMS_PREFIX: &str = "claims/";
@@ -149,7 +149,7 @@
         let value = serde_json::to_string(claim).expect("a claim is serializable");
         // The attempt token and the state identify this write.
         let is_ours = |found: &str| found == value;
-        settle(&self.platform, key, &value, expected, is_ours).await
+        write_or_read_back(&self.platform, key, &value, expected, is_ours).await
     }
 }
 
--- a/crates/bilberry-entry/src/completion.rs
+++ b/crates/bilberry-entry/src/completion.rs
@@ -71,7 +71,7 @@
     ) -> Result<Response<ResponseBody>, ApiError> {
         let first = run.next().await?;
         let (pieces, body) = mpsc::channel(MAX_BUFFERED_EVENTS);
-        let write_timeout = Duration::from_millis(self.limits.unread_ms);
+        let write_timeout = Duration::from_millis(self.limits.write_timeout_ms);
         let entry = self.clone();
         let send = async move {
             let end = send_stream(&mut run, &writer, first, &pieces, write_timeout).await;
@@ -142,7 +142,7 @@
                 let body = Bytes::from(writer.full_response(&text, &end));
                 let response = Response::builder()
                     .header(CONTENT_TYPE, "application/json")
-                    .body(ResponseBody::whole(body));
+                    .body(ResponseBody::full(body));
                 return Ok(response.expect("constant headers are valid"));
             }
         }
--- a/crates/bilberry-entry/src/entry.rs
+++ b/crates/bilberry-entry/src/entry.rs
@@ -46,13 +46,13 @@
 #[derive(Debug, Clone, Copy)]
 pub struct EntryLimits {
     /// The maximum size of a request body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// The maximum time for receiving a request body.
-    pub body_ms: u64,
+    pub body_timeout_ms: u64,
     /// The maximum time that a write to a stream may block on a slow caller.
-    pub unread_ms: u64,
+    pub write_timeout_ms: u64,
     /// The time to wait for probe answers.
-    pub probe_ms: u64,
+    pub probe_timeout_ms: u64,
 }
 
 /// Accepts requests from callers and dispatches them to sidecars.
@@ -79,7 +79,7 @@
         knowledge: K,
         limits: EntryLimits,
     ) -> Arc<Self> {
-        let router = Router::new(node.clone(), place, knowledge, limits.probe_ms);
+        let router = Router::new(node.clone(), place, knowledge, limits.probe_timeout_ms);
         Arc::new(Self {
             claims: Claims::new(platform.clone()),
             node,
@@ -159,7 +159,7 @@
                 platform_ok: self.platform.is_up(),
                 ..StatusResponse::default()
             })),
-            body => self.node.answer_common(body),
+            body => self.node.handle_common_call(body),
         };
         if let Some(answer) = answer {
             reply.send(answer).await;
@@ -168,7 +168,7 @@
 }
 
 impl<P: Platform, K: UpstreamProber> Readiness for Entry<P, K> {
-    fn hindrance(&self) -> Option<&'static str> {
+    fn not_ready_reason(&self) -> Option<&'static str> {
         match self.node.config.revision() {
             0 => Some("no configuration is in force yet\n"),
             _ => None,
--- a/crates/bilberry-entry/src/http_api.rs
+++ b/crates/bilberry-entry/src/http_api.rs
@@ -5,7 +5,7 @@
 use bilberry_node::HttpHandler;
 use bilberry_node::ReadBodyError;
 use bilberry_node::ResponseBody;
-use bilberry_node::json_answer;
+use bilberry_node::json_response;
 use bilberry_node::read_body;
 use bilberry_platform::Platform;
 use bytes::Bytes;
@@ -112,12 +112,13 @@
         &self,
         request: Request<Incoming>,
     ) -> Result<Bytes, ApiError> {
-        let max_bytes = self.limits.body_bytes;
+        let max_bytes = self.limits.max_body_bytes;
         // A body whose declared length exceeds the limit is rejected before it is read.
         if request.body().size_hint().lower() > max_bytes as u64 {
             return Err(body_error(ReadBodyError::TooLarge(max_bytes)));
         }
-        let read = read_body(request.into_body(), max_bytes, self.limits.body_ms).await;
+        let read =
+            read_body(request.into_body(), max_bytes, self.limits.body_timeout_ms).await;
         read.map_err(body_error)
     }
 
@@ -130,7 +131,7 @@
         let models = customer.models.iter().filter_map(|name| compiled.models.get(name));
         let entry = |id| ModelEntry { id, object: "model", owned_by: "bilberrypaddle" };
         let data = models.map(|model| entry(model.name.as_str())).collect();
-        Ok(json_answer(StatusCode::OK, &ModelList { object: "list", data }))
+        Ok(json_response(StatusCode::OK, &ModelList { object: "list", data }))
     }
 }
 
--- a/crates/bilberry-entry/src/knowledge.rs
+++ b/crates/bilberry-entry/src/knowledge.rs
@@ -79,7 +79,7 @@
     const PROBES_ALL: bool = false;
 
     /// Queries the targets; the result omits those that do not answer in time.
-    fn ask(
+    fn probe(
         &self,
         targets: &[Target],
         question: &ProbeQuery<'_>,
@@ -120,7 +120,7 @@
 }
 
 impl UpstreamProber for SidecarProber {
-    async fn ask(
+    async fn probe(
         &self,
         targets: &[Target],
         question: &ProbeQuery<'_>,
--- a/crates/bilberry-entry/src/replay.rs
+++ b/crates/bilberry-entry/src/replay.rs
@@ -79,6 +79,6 @@
     if !answer.content_type.is_empty() {
         response = response.header(CONTENT_TYPE, answer.content_type);
     }
-    let response = response.body(ResponseBody::whole(answer.body));
-    response.unwrap_or_else(|_| Response::new(ResponseBody::whole(Bytes::new())))
+    let response = response.body(ResponseBody::full(answer.body));
+    response.unwrap_or_else(|_| Response::new(ResponseBody::full(Bytes::new())))
 }
--- a/crates/bilberry-entry/src/router.rs
+++ b/crates/bilberry-entry/src/router.rs
@@ -278,7 +278,7 @@
             scope: &request.scope,
             wait: self.probe_timeout,
         };
-        let answers = self.knowledge.ask(&probed, &question).await;
+        let answers = self.knowledge.probe(&probed, &question).await;
         self.record_answers(&probed, &answers);
         let ready: Vec<_> = answers.iter().filter(|a| a.is_ready()).collect();
         let views: Vec<_> = ready.iter().map(|answer| answer.view.clone()).collect();
--- a/crates/bilberry-gateway/src/plain_response.rs
+++ b/crates/bilberry-gateway/src/plain_response.rs
@@ -58,7 +58,7 @@
         if !is_complete {
             return Ok(PlainResponse::Partial(response, buffered));
         }
-        let body = ResponseBody::whole(buffered);
+        let body = ResponseBody::full(buffered);
         let head = response.http.headers();
         let whole = self.caller_response(response.http.status(), head, body);
         self.keep_connection(response);
--- a/crates/bilberry-gateway/src/refusal.rs
+++ b/crates/bilberry-gateway/src/refusal.rs
@@ -1,7 +1,7 @@
 //! Error responses that the gateway generates itself.
 
 use bilberry_node::ResponseBody;
-use bilberry_node::json_answer;
+use bilberry_node::json_response;
 use hyper::Response;
 use hyper::StatusCode;
 use hyper::header::CONNECTION;
@@ -119,7 +119,7 @@
     /// Builds the response; `retry_after_ms` is used only if the request did not run.
     pub fn to_response(&self, retry_after_ms: u64) -> Response<ResponseBody> {
         let body = Body { code: self.code(), message: self.to_string() };
-        let mut response = json_answer(self.status(), &body);
+        let mut response = json_response(self.status(), &body);
         let headers = response.headers_mut();
         if self.guarantees_not_run() {
             let seconds = format!("{:.3}", retry_after_ms as f64 / 1_000.0);
--- a/crates/bilberry-load/src/exact.rs
+++ b/crates/bilberry-load/src/exact.rs
@@ -31,12 +31,12 @@
 impl UpstreamProber for Exact {
     const PROBES_ALL: bool = true;
 
-    async fn ask(
+    async fn probe(
         &self,
         targets: &[Target],
         question: &ProbeQuery<'_>,
     ) -> Vec<ProbeResult> {
-        let mut answers = self.probing.ask(targets, question).await;
+        let mut answers = self.probing.probe(targets, question).await;
         for answer in &mut answers {
             let target = &targets[answer.target];
             let Some(engine) = self.engines.get(target.upstream.as_str()) else {
--- a/crates/bilberry-node/src/body.rs
+++ b/crates/bilberry-node/src/body.rs
@@ -39,7 +39,7 @@
 
 impl ResponseBody {
     /// Creates a complete body.
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
+    pub fn full(bytes: impl Into<Bytes>) -> Self {
         Self::Full(Some(bytes.into()))
     }
 }
--- a/crates/bilberry-node/src/common.rs
+++ b/crates/bilberry-node/src/common.rs
@@ -10,12 +10,12 @@
 
 impl Node {
     /// Answers a call that does not depend on the role; returns `None` for other calls.
-    pub fn answer_common(&self, body: Body) -> Option<Body> {
+    pub fn handle_common_call(&self, body: Body) -> Option<Body> {
         match body {
             Body::Ping(_) => Some(Body::Pong(true)),
             Body::StateRequest(ask) => Some(Body::StateResponse(self.answer_state(&ask))),
             Body::PiecesRequest(ask) => {
-                let pieces = self.config.in_force().wire_pieces(&ask.hashes);
+                let pieces = self.config.active().wire_pieces(&ask.hashes);
                 Some(Body::PiecesResponse(PiecesResponse { pieces }))
             }
             Body::EventsRequest(ask) => {
@@ -27,7 +27,7 @@
     }
 
     fn answer_state(&self, ask: &StateRequest) -> StateResponse {
-        let in_force = self.config.in_force();
+        let in_force = self.config.active();
         let members = self.members.current();
         let head = match in_force.head.revision > ask.have_revision {
             true => in_force.head_text.clone(),
--- a/crates/bilberry-node/src/config.rs
+++ b/crates/bilberry-node/src/config.rs
@@ -80,7 +80,7 @@
     }
 
     /// Returns the active configuration.
-    pub fn in_force(&self) -> Arc<ActiveConfig> {
+    pub fn active(&self) -> Arc<ActiveConfig> {
         self.current.load_full()
     }
 
--- a/crates/bilberry-node/src/era_changes.rs
+++ b/crates/bilberry-node/src/era_changes.rs
@@ -17,7 +17,7 @@
     }
 
     /// Counts one change.
-    pub fn count(&self) {
+    pub fn increment(&self) {
         self.count.inc();
     }
 
--- a/crates/bilberry-node/src/exchange.rs
+++ b/crates/bilberry-node/src/exchange.rs
@@ -120,7 +120,7 @@
     /// Fetches the pieces of a head that are not installed, from the same peer.
     async fn fetch_pieces(&self, peer: SocketAddr, head_text: &str) -> Vec<Piece> {
         let Ok(head) = serde_json::from_str::<Head>(head_text) else { return Vec::new() };
-        let active = self.node.config.in_force();
+        let active = self.node.config.active();
         let mut missing: Vec<_> = head
             .pieces
             .into_iter()
--- a/crates/bilberry-node/src/http.rs
+++ b/crates/bilberry-node/src/http.rs
@@ -193,7 +193,7 @@
 }
 
 /// Returns a response with a JSON body.
-pub fn json_answer<T: Serialize>(
+pub fn json_response<T: Serialize>(
     status: StatusCode,
     value: &T,
 ) -> Response<ResponseBody> {
@@ -201,6 +201,6 @@
     Response::builder()
         .status(status)
         .header(CONTENT_TYPE, "application/json")
-        .body(ResponseBody::whole(text))
+        .body(ResponseBody::full(text))
         .expect("constant headers are valid")
 }
--- a/crates/bilberry-node/src/lib.rs
+++ b/crates/bilberry-node/src/lib.rs
@@ -37,7 +37,7 @@
 pub use http::HttpLimits;
 pub use http::ReadBodyError;
 pub use http::bind;
-pub use http::json_answer;
+pub use http::json_response;
 pub use http::read_body;
 pub use link::Call;
 pub use link::PeerError;
--- a/crates/bilberry-node/src/node.rs
+++ b/crates/bilberry-node/src/node.rs
@@ -92,7 +92,7 @@
     }
 
     /// Stores the version that the platform assigned to the registration.
-    pub fn note_registration(&self, version: u64) {
+    pub fn set_registration_version(&self, version: u64) {
         self.member.lock().unwrap().version = version;
         self.members.merge([self.member()]);
     }
@@ -103,7 +103,7 @@
     }
 
     /// Permanently stops accepting new work; returns false if already stopped.
-    pub fn leave(&self, reason: &str) -> bool {
+    pub fn start_leaving(&self, reason: &str) -> bool {
         let newly_leaving = !self.leaving.swap(true, Ordering::Relaxed);
         if newly_leaving {
             self.events.record("", "leaving", reason);
@@ -123,7 +123,7 @@
             updates.into_iter().partition(|member| member.process == own.process);
         let is_me = |member: &Member| member.incarnation == own.incarnation;
         if about_own.iter().any(|member| member.leaving && is_me(member)) {
-            self.leave("a peer read it in the host list");
+            self.start_leaving("a peer read it in the host list");
         }
         self.members.merge(others);
     }
--- a/crates/bilberry-node/src/operations.rs
+++ b/crates/bilberry-node/src/operations.rs
@@ -15,7 +15,7 @@
 /// Reports whether a process is ready to serve requests.
 pub trait Readiness: Send + Sync + 'static {
     /// Returns the reason why the process is not ready, if any.
-    fn hindrance(&self) -> Option<&'static str>;
+    fn not_ready_reason(&self) -> Option<&'static str>;
 
     /// Updates gauges before metrics are rendered.
     fn refresh(&self) {}
@@ -35,7 +35,7 @@
     }
 
     fn readyz(&self) -> Response<ResponseBody> {
-        match self.readiness.hindrance() {
+        match self.readiness.not_ready_reason() {
             _ if self.node.is_leaving() => {
                 text(StatusCode::SERVICE_UNAVAILABLE, "leaving\n")
             }
@@ -69,6 +69,6 @@
     Response::builder()
         .status(status)
         .header(CONTENT_TYPE, "text/plain; charset=utf-8")
-        .body(ResponseBody::whole(body.into()))
+        .body(ResponseBody::full(body.into()))
         .expect("constant headers are valid")
 }
--- a/crates/bilberry-node/src/registration.rs
+++ b/crates/bilberry-node/src/registration.rs
@@ -7,7 +7,7 @@
 use bilberry_platform::Platform;
 use bilberry_platform::PlatformError;
 use bilberry_platform::WriteResult;
-use bilberry_platform::settle;
+use bilberry_platform::write_or_read_back;
 use bilberry_wire::Member;
 use bilberry_wire::Role;
 use serde::Deserialize;
@@ -70,7 +70,7 @@
     for attempt in 0.. {
         match register_once(&platform, &key, &value).await {
             Ok(version) => {
-                node.note_registration(version);
+                node.set_registration_version(version);
                 return;
             }
             Err(error) => log::debug!("registration failed, retrying: {error}"),
@@ -88,7 +88,9 @@
 ) -> Result<u64, PlatformError> {
     let known = platform.read(key).await?;
     let expected = known.map_or(0, |object| object.version);
-    match settle(platform, key, value, expected, |found| found == value).await? {
+    match write_or_read_back(platform, key, value, expected, |found| found == value)
+        .await?
+    {
         WriteResult::Written(version) => Ok(version),
         WriteResult::Conflict(object) => Err(PlatformError::Conflict(object.version)),
     }
--- a/crates/bilberry-node/src/sync_actor.rs
+++ b/crates/bilberry-node/src/sync_actor.rs
@@ -77,7 +77,7 @@
 impl<P: Platform> SyncActor<P> {
     /// Fetches the pieces of a head that are neither installed nor in `pieces`.
     async fn fetch_missing(&self, head: &Head, pieces: &mut Vec<Piece>) {
-        let active = self.node.config.in_force();
+        let active = self.node.config.active();
         let received: HashSet<_> =
             pieces.iter().map(|piece| piece.hash.clone()).collect();
         for piece in &head.pieces {
--- a/crates/bilberry-node/src/unreadable.rs
+++ b/crates/bilberry-node/src/unreadable.rs
@@ -31,7 +31,7 @@
     }
 
     /// Counts one object.
-    pub fn count(&self, kind: &'static str) {
+    pub fn increment(&self, kind: &'static str) {
         self.by_kind.get_or_create(&KindLabel { kind }).inc();
     }
 }
--- a/crates/bilberry-node/src/watch.rs
+++ b/crates/bilberry-node/src/watch.rs
@@ -113,7 +113,7 @@
                 .collect();
             node.members.mark_leaving(|member| leaving.contains(&member.host));
             if leaving.contains(&node.member().host) {
-                node.leave("the host list says so");
+                node.start_leaving("the host list says so");
             }
         }
         let interval_ms = match is_watcher(&node, watchers) {
--- a/crates/bilberry-platform/src/lib.rs
+++ b/crates/bilberry-platform/src/lib.rs
@@ -18,4 +18,4 @@
 pub use object::Object;
 pub use port::Platform;
 pub use port::WriteResult;
-pub use port::settle;
+pub use port::write_or_read_back;
--- a/crates/bilberry-platform/src/port.rs
+++ b/crates/bilberry-platform/src/port.rs
@@ -66,7 +66,7 @@
 /// If the response to an applied write is lost, a retry fails with a conflict, and
 /// the writer would mistake its own value for another writer's. `is_ours` must
 /// identify the writer's value by a token that no other writer uses.
-pub async fn settle<P: Platform>(
+pub async fn write_or_read_back<P: Platform>(
     platform: &P,
     key: &str,
     value: &str,
--- a/crates/bilberry-sidecar/src/orders.rs
+++ b/crates/bilberry-sidecar/src/orders.rs
@@ -19,7 +19,7 @@
 use bilberry_platform::Platform;
 use bilberry_platform::PlatformError;
 use bilberry_platform::WriteResult;
-use bilberry_platform::settle;
+use bilberry_platform::write_or_read_back;
 use serde::de::DeserializeOwned;
 use xtra::prelude::*;
 
@@ -246,7 +246,7 @@
             serde_json::to_string(value).expect("leases and slots are serializable");
         let is_ours = |found: &str| found == text;
         let platform = &self.sidecar.platform;
-        match settle(platform, key, &text, expected, is_ours).await {
+        match write_or_read_back(platform, key, &text, expected, is_ours).await {
             Ok(WriteResult::Written(version)) => Ok(version),
             Ok(WriteResult::Conflict(_)) => Err(Postponed::Waiting),
             Err(error) => Err(Postponed::Platform(error)),
--- a/crates/bilberry-sidecar/src/sidecar.rs
+++ b/crates/bilberry-sidecar/src/sidecar.rs
@@ -84,7 +84,7 @@
 
     /// Starts the background tasks that track the configuration and, for an engine, its
     /// state and cache. Plain services report no state.
-    pub fn follow_upstream(self: &Arc<Self>) {
+    pub fn start_tracking(self: &Arc<Self>) {
         tokio::spawn(self.clone().track_limits());
         let cache =
             track_cache(self.engine.clone(), self.node.clone(), self.index.clone());
@@ -188,7 +188,7 @@
     fn answer_drain(&self, ask: &DrainRequest) -> DrainResponse {
         // The address may have been reassigned to the sidecar of another upstream.
         if ask.upstream == self.upstream {
-            self.node.leave("drained by an operator");
+            self.node.start_leaving("drained by an operator");
         }
         DrainResponse { in_progress: self.in_progress() as u64 }
     }
@@ -214,7 +214,7 @@
             Body::Probe(probe) => Body::ProbeAnswer(self.answer_probe(&probe)),
             Body::DrainRequest(ask) => Body::DrainResponse(self.answer_drain(&ask)),
             Body::StatusRequest(_) => Body::StatusResponse(self.answer_status()),
-            body => match self.node.answer_common(body) {
+            body => match self.node.handle_common_call(body) {
                 Some(answer) => answer,
                 None => return,
             },
@@ -224,7 +224,7 @@
 }
 
 impl<P: Platform, E: Engine, S: PlainService> OperationsReadiness for Sidecar<P, E, S> {
-    fn hindrance(&self) -> Option<&'static str> {
+    fn not_ready_reason(&self) -> Option<&'static str> {
         match self.node.config.revision() {
             0 => Some("no configuration is in force yet\n"),
             _ if self.health.is_down() => Some("the upstream fails\n"),
--- a/crates/bilberry-standins/src/platform_http.rs
+++ b/crates/bilberry-standins/src/platform_http.rs
@@ -5,7 +5,7 @@
 
 use bilberry_node::HttpHandler;
 use bilberry_node::ResponseBody;
-use bilberry_node::json_answer;
+use bilberry_node::json_response;
 use bilberry_platform::HostEntry;
 use hyper::Method;
 use hyper::Request;
@@ -124,7 +124,7 @@
             Ok(_) if self.loses_answer(key) => cut(),
             Ok(version) => ok(&json!({ "version": version })),
             Err(version) => {
-                json_answer(StatusCode::CONFLICT, &json!({ "version": version }))
+                json_response(StatusCode::CONFLICT, &json!({ "version": version }))
             }
         }
     }
--- a/crates/bilberry-standins/src/server.rs
+++ b/crates/bilberry-standins/src/server.rs
@@ -7,7 +7,7 @@
 use bilberry_node::HttpHandler;
 use bilberry_node::HttpLimits;
 use bilberry_node::ResponseBody;
-use bilberry_node::json_answer;
+use bilberry_node::json_response;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::Request;
@@ -52,12 +52,12 @@
 
 /// Answers with JSON.
 pub(crate) fn ok<T: Serialize>(value: &T) -> Response<ResponseBody> {
-    json_answer(StatusCode::OK, value)
+    json_response(StatusCode::OK, value)
 }
 
 /// Answers with a status and a text.
 pub(crate) fn status(status: StatusCode, text: &str) -> Response<ResponseBody> {
-    let mut response = Response::new(ResponseBody::whole(text.to_string()));
+    let mut response = Response::new(ResponseBody::full(text.to_string()));
     *response.status_mut() = status;
     response
 }
--- a/crates/bilberryd/src/hosted.rs
+++ b/crates/bilberryd/src/hosted.rs
@@ -21,8 +21,8 @@
 use bilberry_adapter::WeightsFollower;
 use bilberry_adapter::allow_first_order;
 use bilberry_adapter::follow;
-use bilberry_adapter::keep_reach;
-use bilberry_adapter::order_unattended;
+use bilberry_adapter::monitor_store_reachability;
+use bilberry_adapter::order_engines_without_sidecar;
 use bilberry_core::BootClock;
 use bilberry_core::BudgetLimits;
 use bilberry_core::Clock;
@@ -99,7 +99,7 @@
 /// Runs a process with the platform's settings until it is stopped.
 ///
 /// Returns whether all requests in progress were completed.
-pub async fn run_hosted(
+pub async fn run_on_platform(
     settings: HostSettings,
     path: PathBuf,
 ) -> Result<bool, PlatformRunError> {
@@ -150,33 +150,36 @@
             key_max_age_ms: settings.key_max_age_ms.map(|ms| ms - KEY_VALIDITY_MARGIN_MS),
             outdated_weights_max_ms: settings.outdated_weights_max_ms,
             budget: BudgetLimits {
-                ratio: settings.repeat_ratio,
-                slack: settings.repeat_slack,
-                window_ms: settings.repeat_window_ms,
+                ratio: settings.retry_budget_ratio,
+                slack: settings.retry_slack,
+                window_ms: settings.retry_budget_window_ms,
             },
         },
     ));
     let era_changes = gateway.metrics.era_changes.clone();
     let store = ObjectStore::new(settings.store, era_changes);
-    let config = ConfigFollower { gateway: gateway.clone(), apply_ms: settings.apply_ms };
+    let config = ConfigFollower {
+        gateway: gateway.clone(),
+        config_apply_ms: settings.config_apply_ms,
+    };
     tokio::spawn(follow(store.clone(), gateway.clone(), clock, config));
     let hosts =
         HostsFollower::new(gateway.clone(), settings.drain_ms, settings.heartbeat_ms);
     tokio::spawn(follow(store.clone(), gateway.clone(), clock, hosts));
     let weights = AnnouncedWeightsFollower::new(gateway.clone(), settings.settle_ms);
     tokio::spawn(follow(store.clone(), gateway.clone(), clock, weights));
-    tokio::spawn(keep_reach(store, gateway.clone()));
+    tokio::spawn(monitor_store_reachability(store, gateway.clone()));
     tokio::spawn(follow_sidecars(gateway.clone(), settings.peers_port));
     if let Some(lease_ms) = settings.lease_ms {
         let terms = OrderSettings {
-            own: settings.host.clone(),
+            host: settings.host.clone(),
             lease_ms,
             settle_ms: settings.settle_ms,
             sidecar_port: settings.peers_port,
             outdated_weights_max_ms: settings.outdated_weights_max_ms,
         };
         let claims = Claims::new(settings.store);
-        tokio::spawn(order_unattended(claims, gateway.clone(), terms));
+        tokio::spawn(order_engines_without_sidecar(claims, gateway.clone(), terms));
     }
     tokio::spawn(follow_prompt_stores(gateway.clone()));
     let listener = bind("callers", callers).await?;
--- a/crates/bilberryd/src/lib.rs
+++ b/crates/bilberryd/src/lib.rs
@@ -7,7 +7,7 @@
 mod status;
 
 pub use hosted::PlatformRunError;
-pub use hosted::run_hosted;
+pub use hosted::run_on_platform;
 pub use process::Addresses;
 pub use process::Process;
 pub use signals::on_hangup;
--- a/crates/bilberryd/src/main.rs
+++ b/crates/bilberryd/src/main.rs
@@ -9,7 +9,7 @@
 use bilberry_config::Settings;
 use bilberry_node::LogSink;
 use bilberry_node::start_logging;
-use bilberryd::run_hosted;
+use bilberryd::run_on_platform;
 use bilberryd::wait_for_signal;
 use gumdrop::Options;
 
@@ -38,7 +38,7 @@
 fn main() -> ExitCode {
     let arguments = Arguments::parse_args_default_or_exit();
     if let (None, Some(path)) = (&arguments.settings, settings_path()) {
-        return run_on_platform(&path, arguments.check);
+        return run_with_node_file(&path, arguments.check);
     }
     let Some(path) = &arguments.settings else {
         eprintln!("--settings is missing; give the path of a TOML file");
@@ -66,7 +66,7 @@
 }
 
 /// Runs with the settings supplied by the users' platform.
-fn run_on_platform(path: &Path, check: bool) -> ExitCode {
+fn run_with_node_file(path: &Path, check: bool) -> ExitCode {
     let settings = match HostSettings::load(path) {
         Ok(settings) => settings,
         Err(error) => {
@@ -86,7 +86,7 @@
     // compete for it.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let outcome = match runtime {
-        Ok(runtime) => runtime.block_on(run_hosted(settings, path.to_path_buf())),
+        Ok(runtime) => runtime.block_on(run_on_platform(settings, path.to_path_buf())),
         Err(error) => {
             eprintln!("the runtime can't start: {error}; allow more threads");
             return ExitCode::from(EXIT_START);
--- a/crates/bilberryd/src/process.rs
+++ b/crates/bilberryd/src/process.rs
@@ -73,7 +73,7 @@
 
     /// Shuts down gracefully; returns false if requests were aborted.
     pub async fn stop(self) -> bool {
-        self.node.leave("planned stop");
+        self.node.start_leaving("planned stop");
         log::info!("stopping; waiting for requests in progress");
         let stop_timeout = self.stop_timeout;
         let all_completed = match self.work {
--- a/crates/bilberryd/src/start.rs
+++ b/crates/bilberryd/src/start.rs
@@ -90,7 +90,7 @@
             HttpEngine::new(upstream.address),
             HttpPlainService::new(upstream.address),
         );
-        sidecar.follow_upstream();
+        sidecar.start_tracking();
         let counter = sidecar.clone();
         let in_progress = Box::new(move || counter.in_progress());
         Ok(self.run(sidecar, ActiveWork::Sidecar { in_progress }, None, None))
@@ -108,10 +108,10 @@
             self.settings.parsed_place(),
             knowledge(self.links.clone()),
             EntryLimits {
-                body_bytes: limits.body_bytes,
-                body_ms: limits.body_ms,
-                unread_ms: limits.unread_ms,
-                probe_ms: limits.probe_ms,
+                max_body_bytes: limits.body_bytes,
+                body_timeout_ms: limits.body_ms,
+                write_timeout_ms: limits.unread_ms,
+                probe_timeout_ms: limits.probe_ms,
             },
         );
         let listen = &self.settings.listen;
--- a/crates/bilberryd/src/status.rs
+++ b/crates/bilberryd/src/status.rs
@@ -59,7 +59,7 @@
             _ if self.process.is_ready() => (StatusCode::OK, "ready\n".to_string()),
             _ => (StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_string()),
         };
-        let mut answer = Response::new(ResponseBody::whole(text));
+        let mut answer = Response::new(ResponseBody::full(text));
         *answer.status_mut() = status;
         answer
     }
--- a/tests/src/caller.rs
+++ b/tests/src/caller.rs
@@ -109,7 +109,7 @@
     }
 
     /// Calls the non-idempotent path of the service with an idempotency key.
-    pub async fn call_once(&self, key: &str, body: &str) -> Result<Reply, String> {
+    pub async fn call_with_key(&self, key: &str, body: &str) -> Result<Reply, String> {
         self.send(
             "POST",
             "/services/s/run",
@@ -122,7 +122,7 @@
 
 impl Streaming {
     /// Returns what has been received so far.
-    pub fn so_far(&self) -> &Answer {
+    pub fn received(&self) -> &Answer {
         &self.answer
     }
 
--- a/tests/src/fleet.rs
+++ b/tests/src/fleet.rs
@@ -32,9 +32,9 @@
     /// The upstreams.
     pub upstreams: Vec<ChildProcess>,
     /// The fault proxies in front of the sidecars, if configured.
-    pub links: Vec<FaultProxy>,
+    pub sidecar_proxies: Vec<FaultProxy>,
     /// The fault proxy in front of the platform, if configured.
-    pub platform_link: Option<FaultProxy>,
+    pub platform_proxy: Option<FaultProxy>,
     /// The platform.
     pub platform: ChildProcess,
     /// The configuration of the fleet.
@@ -55,8 +55,8 @@
             entries: Vec::new(),
             sidecars: Vec::new(),
             upstreams: Vec::new(),
-            links: Vec::new(),
-            platform_link,
+            sidecar_proxies: Vec::new(),
+            platform_proxy: platform_link,
             platform,
             plan,
             directory: create_temp_dir(),
@@ -66,7 +66,7 @@
             let entry = fleet.start_entry(at);
             fleet.entries.push(entry);
         }
-        let piece = fleet.plan.piece();
+        let piece = fleet.plan.config_file();
         fleet
             .apply(0, &[("10-tests.toml", &piece)])
             .await
@@ -123,12 +123,12 @@
     }
 
     /// Makes the platform take a snapshot of its objects.
-    pub async fn copy_platform(&self) {
+    pub async fn snapshot_platform(&self) {
         self.put_platform("copy").await;
     }
 
     /// Makes the platform restore its objects from the last snapshot.
-    pub async fn return_platform(&self) {
+    pub async fn restore_platform(&self) {
         self.put_platform("return").await;
     }
 
--- a/tests/src/fleet/launch.rs
+++ b/tests/src/fleet/launch.rs
@@ -61,7 +61,7 @@
         let running = ChildProcess::start("bilberryd", arguments(&path));
         if let Some(address) = advertise {
             let link = FaultProxy::start_at(address, running.address("peers")).await;
-            self.links.push(link);
+            self.sidecar_proxies.push(link);
         }
         self.sidecars.push(running);
     }
@@ -79,7 +79,7 @@
         upstream: Option<SocketAddr>,
         advertise: Option<SocketAddr>,
     ) -> String {
-        let platform = match &self.platform_link {
+        let platform = match &self.platform_proxy {
             Some(link) => link.address,
             None => self.platform.address("address"),
         };
--- a/tests/src/fleet/observe.rs
+++ b/tests/src/fleet/observe.rs
@@ -31,7 +31,7 @@
     }
 
     /// Returns the counters of an engine.
-    pub async fn engine(&self, at: usize) -> EngineCounters {
+    pub async fn engine_counters(&self, at: usize) -> EngineCounters {
         self.counters(&self.upstreams[at]).await
     }
 
@@ -39,7 +39,7 @@
     pub async fn engine_runs(&self) -> u64 {
         let mut runs = 0;
         for at in 0..self.plan.engines.len() {
-            runs += self.engine(at).await.runs;
+            runs += self.engine_counters(at).await.runs;
         }
         runs
     }
@@ -55,7 +55,7 @@
     }
 
     /// Returns the counters of the platform.
-    pub async fn platform_calls(&self) -> PlatformCounters {
+    pub async fn platform_counters(&self) -> PlatformCounters {
         self.counters(&self.platform).await
     }
 
--- a/tests/src/plan.rs
+++ b/tests/src/plan.rs
@@ -67,7 +67,7 @@
     }
 
     /// Renders the configuration file of the fleet as TOML.
-    pub fn piece(&self) -> String {
+    pub fn config_file(&self) -> String {
         let mut text = "owner = \"tests\"\n".to_string();
         for (name, lines) in &self.customers {
             let hash = bilberry_config::hash_text(&format!("key-{name}"));
--- a/tests/src/process.rs
+++ b/tests/src/process.rs
@@ -64,12 +64,12 @@
     }
 
     /// Suspends the process with `SIGSTOP`.
-    pub fn freeze(&self) {
+    pub fn suspend(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
     /// Resumes a suspended process with `SIGCONT`.
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Waits for the process to exit.
-    pub async fn ended(&mut self) -> ExitStatus {
+    pub async fn wait_exit(&mut self) -> ExitStatus {
         let until = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Ok(Some(status)) = self.child.try_wait() {
--- a/tests/src/proxy.rs
+++ b/tests/src/proxy.rs
@@ -55,7 +55,7 @@
     }
 
     /// Closes all connections and refuses new ones.
-    pub async fn cut(&mut self) {
+    pub async fn disconnect(&mut self) {
         if let Some(handle) = self.handle.take() {
             handle.stopper.stop();
             let _ = handle.task.await;
@@ -63,7 +63,7 @@
     }
 
     /// Removes all faults and accepts connections again.
-    pub async fn heal(&mut self) {
+    pub async fn restore(&mut self) {
         if self.handle.is_none() {
             self.restart(Toxics::empty()).await;
         }
@@ -72,14 +72,14 @@
 
     /// Drops all data in both directions while connections stay open, like a
     /// network partition without resets.
-    pub async fn swallow(&self) {
+    pub async fn drop_traffic(&self) {
         let kind = ToxicKind::Timeout { timeout: 0 };
         self.add_toxic("swallow_up", kind, StreamDirection::Upstream).await;
         self.add_toxic("swallow_down", kind, StreamDirection::Downstream).await;
     }
 
     /// Delays all data from the upstream.
-    pub async fn delay_answers(&self, latency_ms: u64) {
+    pub async fn delay_responses(&self, latency_ms: u64) {
         let kind = ToxicKind::Latency { latency: latency_ms, jitter: 0 };
         self.add_toxic("delay_down", kind, StreamDirection::Downstream).await;
     }
@@ -90,14 +90,14 @@
     }
 
     /// Closes each new connection after `bytes` have been received from the upstream.
-    pub async fn cut_after_answered(&mut self, bytes: u64) {
+    pub async fn cut_after_received(&mut self, bytes: u64) {
         self.cut_after(bytes, StreamDirection::Downstream).await;
     }
 
     /// Restarts the proxy with a byte limit, because `noxious` applies limits to new
     /// connections only.
     async fn cut_after(&mut self, bytes: u64, direction: StreamDirection) {
-        self.cut().await;
+        self.disconnect().await;
         let kind = ToxicKind::LimitData { bytes };
         let toxic = Toxic { kind, name: "limit".to_string(), toxicity: 1.0, direction };
         let mut toxics = Toxics::empty();
--- a/tests/tests/at_most_once.rs
+++ b/tests/tests/at_most_once.rs
@@ -43,7 +43,7 @@
 }
 
 async fn call(caller: &Caller) -> Reply {
-    caller.call_once(KEY, "the schedule").await.expect("an answer")
+    caller.call_with_key(KEY, "the schedule").await.expect("an answer")
 }
 
 /// Sends the call with a deadline.
@@ -120,7 +120,7 @@
     let anna = fleet.caller(0, "anna");
     assert_eq!(call(&anna).await.status, 200);
     assert_eq!(call(&fleet.caller(0, "ben")).await.status, 200);
-    let other = anna.call_once(KEY, "another schedule").await.expect("an answer");
+    let other = anna.call_with_key(KEY, "another schedule").await.expect("an answer");
     assert_eq!((other.status, code(&other).as_str()), (422, "key_reused"));
     assert_eq!(fleet.runs_of(KEY).await, 2);
 }
@@ -226,13 +226,13 @@
     // the dispatch from their sockets; its deadline prevents them from running it.
     let fleet = fleet().await;
     for sidecar in &fleet.sidecars {
-        sidecar.freeze();
+        sidecar.suspend();
     }
     let lost = call_within(&fleet.caller(0, "anna"), 400).await.expect("an answer");
     assert_ne!(run_state(&lost), "ran");
     tokio::time::sleep(Duration::from_millis(100)).await;
     for sidecar in &fleet.sidecars {
-        sidecar.thaw();
+        sidecar.resume();
     }
     for at in 0..2 {
         fleet.wait_ready(&fleet.sidecars[at]).await;
@@ -256,14 +256,14 @@
     let caller = fleet.caller(0, "anna");
     let frozen = tokio::spawn(async move { call(&caller).await });
     wait_running(&fleet).await;
-    fleet.entries[0].freeze();
+    fleet.entries[0].suspend();
     eventually("the server has run the call", || async {
         (fleet.runs_of(KEY).await == 1).then_some(())
     })
     .await;
     let other = fleet.caller(1, "anna");
     assert_eq!(call(&other).await.status, 409);
-    fleet.entries[0].thaw();
+    fleet.entries[0].resume();
     assert_eq!(frozen.await.expect("the call ends").status, 200);
     assert_eq!(call(&other).await.status, 200);
     assert_eq!(fleet.runs_of(KEY).await, 1);
--- a/tests/tests/bad_input.rs
+++ b/tests/tests/bad_input.rs
@@ -175,7 +175,7 @@
     stream.read_tokens(2).await;
     drop(stream);
     eventually("the engine stops", || async {
-        let counters = fleet.engine(0).await;
+        let counters = fleet.engine_counters(0).await;
         (counters.cancelled == 1 && counters.running == 0).then_some(())
     })
     .await;
@@ -221,7 +221,7 @@
     let given_up = "bilberry_answers_total{code=\"caller_gone\"}";
     eventually("the entry gives the caller up", || async {
         let count = fleet.metric(&fleet.entries[0], given_up).await?;
-        let is_free = fleet.engine(0).await.running == 0;
+        let is_free = fleet.engine_counters(0).await.running == 0;
         (count == 1.0 && is_free).then_some(())
     })
     .await;
--- a/tests/tests/cached_state.rs
+++ b/tests/tests/cached_state.rs
@@ -48,10 +48,10 @@
     for _ in 0..2 {
         assert!(fleet.caller(0, "anna").complete(&long_prefix(), 2).await.done);
     }
-    let before = fleet.engine(0).await;
+    let before = fleet.engine_counters(0).await;
     assert!(before.cached_tokens > 0);
     assert!(fleet.caller(0, "ben").complete(&long_prefix(), 2).await.done);
-    let after = fleet.engine(0).await;
+    let after = fleet.engine_counters(0).await;
     assert_eq!(after.cached_tokens, before.cached_tokens);
     assert_eq!(after.violations, 0);
 }
@@ -76,8 +76,8 @@
     let caller = fleet.caller(0, "ben");
     let reply = caller.send("POST", "/v1/completions", &[], body.to_string()).await;
     assert_eq!(reply.expect("an answer").json()["usage"]["completion_tokens"], 2);
-    assert_eq!(fleet.engine(0).await.violations, 0);
-    assert_eq!(fleet.engine(0).await.cached_tokens, 0);
+    assert_eq!(fleet.engine_counters(0).await.violations, 0);
+    assert_eq!(fleet.engine_counters(0).await.cached_tokens, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -113,7 +113,7 @@
         running.await.expect("a caller ends");
     }
     for engine in 0..2 {
-        assert_eq!(fleet.engine(engine).await.violations, 0);
+        assert_eq!(fleet.engine_counters(engine).await.violations, 0);
     }
 }
 
@@ -130,7 +130,7 @@
     send("POST", &url, &[], "").await.expect("the engine crashes");
     assert_eq!(wait_index_synced(&fleet, 0).await, 0);
     assert!(fleet.caller(0, "anna").complete(&long_prefix(), 2).await.done);
-    assert_eq!(fleet.engine(0).await.cached_tokens, 0);
+    assert_eq!(fleet.engine_counters(0).await.cached_tokens, 0);
     assert!(wait_index_synced(&fleet, 0).await > 0);
 }
 
@@ -145,7 +145,7 @@
     let mut stream = fleet.caller(0, "anna").start(&long_prefix(), 30).await;
     stream.read_tokens(3).await;
     for engine in 0..2 {
-        if fleet.engine(engine).await.running > 0 {
+        if fleet.engine_counters(engine).await.running > 0 {
             let address = fleet.upstreams[engine].address("address");
             let url = format!("http://{address}/standin/crash");
             send("POST", &url, &[], "").await.expect("the engine crashes");
--- a/tests/tests/configuration.rs
+++ b/tests/tests/configuration.rs
@@ -15,7 +15,7 @@
 
 /// Returns the fleet configuration with a comment that makes it unique.
 fn piece(fleet: &Fleet, comment: &str) -> String {
-    format!("{}\n# {comment}\n", fleet.plan.piece())
+    format!("{}\n# {comment}\n", fleet.plan.config_file())
 }
 
 async fn apply(fleet: &Fleet, entry: usize, comment: &str) -> Result<u64, String> {
@@ -111,12 +111,12 @@
     // entry resumes with stale watches and responses in its sockets. It must reach
     // the last change and never report a lower revision than before.
     let fleet = Fleet::start(FleetConfig { entries: 2, ..FleetConfig::engines(2) }).await;
-    fleet.entries[1].freeze();
+    fleet.entries[1].suspend();
     assert_eq!(apply(&fleet, 0, "one").await, Ok(2));
     assert_eq!(apply(&fleet, 0, "two").await, Ok(3));
     let down = PlatformFaults { down: true, ..PlatformFaults::default() };
     fleet.set_faults(&fleet.platform, &down).await;
-    fleet.entries[1].thaw();
+    fleet.entries[1].resume();
     let thawed = Instant::now();
     let mut highest = 0;
     while highest < 3 {
--- a/tests/tests/leaving.rs
+++ b/tests/tests/leaving.rs
@@ -44,11 +44,11 @@
 
 /// Sends requests and asserts that an engine receives none of them.
 async fn assert_no_new_work(fleet: &Fleet, at: usize) {
-    let before = fleet.engine(at).await.runs;
+    let before = fleet.engine_counters(at).await.runs;
     for round in 0..20 {
         ask_once(fleet, &format!("after {round}")).await;
     }
-    assert_eq!(fleet.engine(at).await.runs, before);
+    assert_eq!(fleet.engine_counters(at).await.runs, before);
 }
 
 /// Starts `count` streams, rotating over the first `entries` entries, and reads the
@@ -84,7 +84,7 @@
     let mut stream = fleet.caller(0, "anna").start("a long answer", 100).await;
     stream.read_tokens(3).await;
     let mut at = 0;
-    while fleet.engine(at).await.running == 0 {
+    while fleet.engine_counters(at).await.running == 0 {
         at += 1;
     }
     let path = format!("/v1/upstreams/e{at}/drain");
@@ -93,7 +93,7 @@
     assert_no_new_work(&fleet, at).await;
     let answer = stream.finish().await;
     assert_eq!(answer.text, expected_answer("a long answer", "w1", 100));
-    assert_eq!(fleet.engine(at).await.cancelled, 0);
+    assert_eq!(fleet.engine_counters(at).await.cancelled, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -118,12 +118,12 @@
     ask_once(&fleet, "before").await;
     let reply = fleet.admin(0, "POST", "/v1/upstreams/e2/drain", "").await;
     assert_eq!(reply.expect("an answer").status, 200);
-    let before = fleet.engine(2).await.runs;
-    fleet.links[2].cut().await;
+    let before = fleet.engine_counters(2).await.runs;
+    fleet.sidecar_proxies[2].disconnect().await;
     ask_once(&fleet, "while cut").await;
-    fleet.links[2].heal().await;
+    fleet.sidecar_proxies[2].restore().await;
     assert_no_new_work(&fleet, 2).await;
-    assert_eq!(fleet.engine(2).await.runs, before);
+    assert_eq!(fleet.engine_counters(2).await.runs, before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -134,7 +134,7 @@
     let streams = start_streams(&fleet, 10, 1).await;
     fleet.entries[0].terminate();
     assert_all_complete(streams).await;
-    assert_eq!(fleet.entries[0].ended().await.code(), Some(0));
+    assert_eq!(fleet.entries[0].wait_exit().await.code(), Some(0));
     let answer = fleet.caller(1, "anna").complete("elsewhere", 2).await;
     assert!(answer.done);
 }
@@ -151,8 +151,8 @@
     ask_once(&fleet, "during the stop").await;
     assert_all_complete(streams).await;
     for at in 0..2 {
-        assert_eq!(fleet.sidecars[at].ended().await.code(), Some(0));
-        assert_eq!(fleet.engine(at).await.cancelled, 0);
+        assert_eq!(fleet.sidecars[at].wait_exit().await.code(), Some(0));
+        assert_eq!(fleet.engine_counters(at).await.cancelled, 0);
     }
 }
 
@@ -166,7 +166,7 @@
     stream.read_tokens(1).await;
     let asked = Instant::now();
     fleet.entries[0].terminate();
-    assert_eq!(fleet.entries[0].ended().await.code(), Some(4));
+    assert_eq!(fleet.entries[0].wait_exit().await.code(), Some(4));
     assert!(asked.elapsed() < Duration::from_secs(3), "took {:?}", asked.elapsed());
     let answer = stream.finish().await;
     assert!(!answer.done);
--- a/tests/tests/not_run.rs
+++ b/tests/tests/not_run.rs
@@ -38,15 +38,15 @@
     let plan = FleetConfig { proxied_sidecars: true, ..FleetConfig::services(1) };
     let mut fleet = Fleet::start(plan).await;
     let caller = fleet.caller(0, "anna");
-    fleet.links[0].cut().await;
-    let reply = caller.call_once("refused", "proof").await.expect("an answer");
+    fleet.sidecar_proxies[0].disconnect().await;
+    let reply = caller.call_with_key("refused", "proof").await.expect("an answer");
     check(&fleet, "refused", &reply, "refused").await;
     let mut run_states = vec![run_state(&reply)];
     for (at, bytes) in CUT_OFFSETS.iter().enumerate() {
         for towards in [true, false] {
             match towards {
-                true => fleet.links[0].cut_after_sent(*bytes).await,
-                false => fleet.links[0].cut_after_answered(*bytes).await,
+                true => fleet.sidecar_proxies[0].cut_after_sent(*bytes).await,
+                false => fleet.sidecar_proxies[0].cut_after_received(*bytes).await,
             }
             let what = format!("cut-{at}-{towards}");
             run_states.push(call_until_connected(&fleet, &what).await);
@@ -66,7 +66,8 @@
     let tries = AtomicU32::new(0);
     eventually("the entry connects anew", || async {
         let key = format!("{what}-{}", tries.fetch_add(1, Ordering::Relaxed));
-        let reply = fleet.caller(0, "anna").call_once(&key, "proof").await.expect("told");
+        let reply =
+            fleet.caller(0, "anna").call_with_key(&key, "proof").await.expect("told");
         check(fleet, &key, &reply, &key).await;
         let is_refused = reply.json()["error"]["code"] == "upstream_unreachable";
         (!is_refused).then(|| run_state(&reply))
@@ -81,10 +82,10 @@
     let mut fleet = Fleet::start(FleetConfig::services(1)).await;
     let caller = fleet.caller(0, "anna");
     fleet.upstreams[0].kill();
-    let reply = caller.call_once("dead-server", "proof").await.expect("an answer");
+    let reply = caller.call_with_key("dead-server", "proof").await.expect("an answer");
     assert_eq!(run_state(&reply), "not_run");
     fleet.sidecars[0].kill();
-    let reply = caller.call_once("dead-sidecar", "proof").await.expect("an answer");
+    let reply = caller.call_with_key("dead-sidecar", "proof").await.expect("an answer");
     assert_ne!(run_state(&reply), "ran");
 }
 
@@ -94,7 +95,7 @@
     // immediately with `Retry-After`, and the server never receives them.
     let plan = FleetConfig { services: 1, ..FleetConfig::services(1) };
     let piece = |plan: &FleetConfig| {
-        let text = plan.piece();
+        let text = plan.config_file();
         text.replace(
             "place = \"r/h\"",
             "place = \"r/h\"\nmax_running = 1\nqueue_limit = 1",
@@ -108,9 +109,9 @@
     let calls: Vec<_> = (0..6)
         .map(|at| {
             let caller = fleet.caller(0, "anna");
-            tokio::spawn(
-                async move { caller.call_once(&format!("q-{at}"), "proof").await },
-            )
+            tokio::spawn(async move {
+                caller.call_with_key(&format!("q-{at}"), "proof").await
+            })
         })
         .collect();
     let mut refused = 0;
@@ -144,5 +145,5 @@
     let reply = reply.expect("an answer");
     assert!(reply.status >= 500, "{}", reply.status);
     assert!(reply.header("retry-after").is_some());
-    assert_eq!(fleet.engine(0).await.runs, 1);
+    assert_eq!(fleet.engine_counters(0).await.runs, 1);
 }
--- a/tests/tests/operators.rs
+++ b/tests/tests/operators.rs
@@ -50,7 +50,7 @@
         std::env::temp_dir().join(format!("bilberry-ops-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let path = folder.join("10-tests.toml");
-    let piece = fleet.plan.piece();
+    let piece = fleet.plan.config_file();
     std::fs::write(&path, &piece).expect("a file");
     let folder_text = folder.display().to_string();
     let at = ["--folder", folder_text.as_str()];
--- a/tests/tests/orders.rs
+++ b/tests/tests/orders.rs
@@ -10,7 +10,7 @@
 
 /// Returns the fleet configuration with `weights` for the model.
 fn piece(fleet: &Fleet, weights: &str) -> String {
-    FleetConfig { weights: weights.to_string(), ..fleet.plan.clone() }.piece()
+    FleetConfig { weights: weights.to_string(), ..fleet.plan.clone() }.config_file()
 }
 
 async fn apply(fleet: &Fleet, weights: &str) -> Result<u64, String> {
@@ -96,7 +96,7 @@
     }
     wait_weights(&fleet, "w2").await;
     for engine in 0..3 {
-        assert_eq!(fleet.engine(engine).await.violations, 0);
+        assert_eq!(fleet.engine_counters(engine).await.violations, 0);
     }
 }
 
@@ -126,11 +126,11 @@
     })
     .await;
     assert!(holder.is_some());
-    fleet.sidecars[0].freeze();
+    fleet.sidecars[0].suspend();
     let second = fleet.start_second_sidecar(0);
     assert_eq!(apply(&fleet, "w3").await, Ok(3));
     wait_weights(&fleet, "w3").await;
-    fleet.sidecars[0].thaw();
+    fleet.sidecars[0].resume();
     drop(stream);
     fleet.wait_revision(&fleet.sidecars[0], 3).await;
     fleet.sidecars.push(second);
@@ -145,7 +145,7 @@
     for checks_fencing in [true, false] {
         let fleet = fleet_after_lease_takeover(checks_fencing).await;
         wait_weights(&fleet, "w3").await;
-        let counters = fleet.engine(0).await;
+        let counters = fleet.engine_counters(0).await;
         assert_eq!(counters.stale_orders, 0, "fencing {checks_fencing}: {counters:?}");
         assert_eq!(counters.orders, 1, "fencing {checks_fencing}: {counters:?}");
     }
--- a/tests/tests/own_answers.rs
+++ b/tests/tests/own_answers.rs
@@ -56,11 +56,11 @@
         (fleet.engine_runs().await >= 100).then_some(())
     })
     .await;
-    fleet.links[0].delay_answers(150).await;
-    fleet.links[1].cut().await;
-    fleet.links[1].heal().await;
-    fleet.links[2].cut().await;
-    fleet.links[2].heal().await;
+    fleet.sidecar_proxies[0].delay_responses(150).await;
+    fleet.sidecar_proxies[1].disconnect().await;
+    fleet.sidecar_proxies[1].restore().await;
+    fleet.sidecar_proxies[2].disconnect().await;
+    fleet.sidecar_proxies[2].restore().await;
     let mut complete = 0;
     for running in callers {
         let (answer, expected) = running.await.expect("a caller ends");
@@ -141,7 +141,7 @@
     tokio::spawn(serve_peers(node.clone(), listener, Arc::new(fault)));
     let platform = HttpPlatform::new(fleet.platform.address("address"), 500, 500);
     register(node, platform).await;
-    let piece = FleetConfig::engines(1).piece();
+    let piece = FleetConfig::engines(1).config_file();
     fleet.apply(0, &[("10-tests.toml", &piece)]).await.expect("applied");
     eventually("the fake sidecar is known", || async {
         let answer = fleet.caller(0, "anna").complete("?", 3).await;
--- a/tests/tests/platform_returns.rs
+++ b/tests/tests/platform_returns.rs
@@ -12,7 +12,7 @@
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(4);
 
 async fn apply(fleet: &Fleet, comment: &str) -> u64 {
-    let piece = format!("{}\n# {comment}\n", fleet.plan.piece());
+    let piece = format!("{}\n# {comment}\n", fleet.plan.config_file());
     fleet.apply(0, &[("10-tests.toml", &piece)]).await.expect("it is accepted")
 }
 
@@ -30,10 +30,10 @@
     let fleet =
         Fleet::start(FleetConfig { entries: 3, ..FleetConfig::services(2) }).await;
     apply(&fleet, "kept").await;
-    fleet.copy_platform().await;
+    fleet.snapshot_platform().await;
     let lost = apply(&fleet, "lost").await;
     assert_in_force(&fleet, lost).await;
-    fleet.return_platform().await;
+    fleet.restore_platform().await;
     (fleet, lost)
 }
 
--- a/tests/tests/policy.rs
+++ b/tests/tests/policy.rs
@@ -23,7 +23,7 @@
 async fn cached_tokens(fleet: &Fleet) -> u64 {
     let mut tokens = 0;
     for at in 0..fleet.plan.engines.len() {
-        tokens += fleet.engine(at).await.cached_tokens;
+        tokens += fleet.engine_counters(at).await.cached_tokens;
     }
     tokens
 }
@@ -60,7 +60,7 @@
     for at in 0..60 {
         assert!(caller.complete(&unique_prompt(at), 1).await.done);
     }
-    let slow = fleet.engine(0).await.runs;
+    let slow = fleet.engine_counters(0).await.runs;
     assert!(slow <= 6, "the slow engine got {slow} of 60 requests");
 }
 
@@ -77,10 +77,10 @@
     let mut stream = caller.start("a long answer", 50).await;
     stream.read_tokens(3).await;
     let mut at = 0;
-    while fleet.engine(at).await.running == 0 {
+    while fleet.engine_counters(at).await.running == 0 {
         at += 1;
     }
-    fleet.upstreams[at].freeze();
+    fleet.upstreams[at].suspend();
     let answer = stream.finish().await;
     assert_eq!(answer.text, expected_answer("a long answer", "w1", 50), "{answer:?}");
     let before = upstream_calls(&fleet).await;
@@ -88,7 +88,7 @@
         assert!(caller.complete(&unique_prompt(at), 1).await.done);
     }
     assert_eq!(upstream_calls(&fleet).await, before + 10.0);
-    fleet.upstreams[at].thaw();
+    fleet.upstreams[at].resume();
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -196,8 +196,8 @@
     for at in 0..prompts {
         assert!(caller.complete(&unique_prompt(at), 2).await.done);
     }
-    for link in &fleet.links {
-        link.delay_answers(5).await;
+    for link in &fleet.sidecar_proxies {
+        link.delay_responses(5).await;
     }
     let mut recomputed = Vec::new();
     for at in 0..prompts {
@@ -206,9 +206,9 @@
         let asked =
             tokio::spawn(async move { asking.complete(&unique_prompt(at), 2).await });
         tokio::time::sleep(Duration::from_millis(3)).await;
-        fleet.entries[0].freeze();
+        fleet.entries[0].suspend();
         tokio::time::sleep(Duration::from_millis(60)).await;
-        fleet.entries[0].thaw();
+        fleet.entries[0].resume();
         assert!(asked.await.expect("a caller ends").done);
         if cached_tokens(&fleet).await == before {
             recomputed.push(at);
--- a/tests/tests/restarts.rs
+++ b/tests/tests/restarts.rs
@@ -34,7 +34,7 @@
 async fn totals(fleet: &Fleet) -> (u64, u64) {
     let (mut cached, mut prompt) = (0, 0);
     for at in 0..fleet.plan.engines.len() {
-        let counters = fleet.engine(at).await;
+        let counters = fleet.engine_counters(at).await;
         cached += counters.cached_tokens;
         prompt += counters.prompt_tokens;
     }
--- a/tests/tests/streams.rs
+++ b/tests/tests/streams.rs
@@ -30,7 +30,7 @@
 /// Returns the index of the engine that is running a request.
 async fn running_engine(fleet: &Fleet) -> usize {
     for at in 0..fleet.plan.engines.len() {
-        if fleet.engine(at).await.running > 0 {
+        if fleet.engine_counters(at).await.running > 0 {
             return at;
         }
     }
@@ -85,9 +85,9 @@
     let mut stream = fleet.caller(0, "anna").start(PROMPT, TOKENS).await;
     stream.read_tokens(5).await;
     let at = running_engine(&fleet).await;
-    fleet.sidecars[at].freeze();
+    fleet.sidecars[at].suspend();
     stream.read_tokens(40).await;
-    fleet.sidecars[at].thaw();
+    fleet.sidecars[at].resume();
     assert_complete(&stream.finish().await);
 }
 
@@ -99,10 +99,10 @@
     let mut stream = fleet.caller(0, "anna").start(PROMPT, TOKENS).await;
     stream.read_tokens(5).await;
     let first = running_engine(&fleet).await;
-    fleet.links[first].cut().await;
+    fleet.sidecar_proxies[first].disconnect().await;
     stream.read_tokens(20).await;
-    fleet.links[first].heal().await;
-    fleet.links[1 - first].cut().await;
+    fleet.sidecar_proxies[first].restore().await;
+    fleet.sidecar_proxies[1 - first].disconnect().await;
     assert_complete(&stream.finish().await);
 }
 
@@ -114,7 +114,7 @@
     let mut stream = fleet.caller(0, "anna").start(PROMPT, TOKENS).await;
     stream.read_tokens(5).await;
     let at = running_engine(&fleet).await;
-    fleet.links[at].swallow().await;
+    fleet.sidecar_proxies[at].drop_traffic().await;
     assert_complete(&stream.finish().await);
 }
 
@@ -124,7 +124,7 @@
     let fleet = fleet(1).await;
     let mut stream = fleet.caller(0, "anna").start(PROMPT, TOKENS).await;
     stream.read_tokens(5).await;
-    fleet.links[0].delay_answers(200).await;
+    fleet.sidecar_proxies[0].delay_responses(200).await;
     assert_complete(&stream.finish().await);
 }
 
@@ -134,8 +134,8 @@
     // various offsets. The stream resumes elsewhere after the delivered text.
     let mut fleet = fleet(2).await;
     for bytes in [300, 333, 500, 901, 1_500] {
-        for link in &mut fleet.links {
-            link.cut_after_answered(bytes).await;
+        for link in &mut fleet.sidecar_proxies {
+            link.cut_after_received(bytes).await;
         }
         let answer = fleet.caller(0, "anna").complete(PROMPT, TOKENS).await;
         match answer.status {
@@ -155,7 +155,7 @@
     stream.read_tokens(5).await;
     let at = running_engine(&fleet).await;
     fleet.upstreams[at].kill();
-    fleet.links[(at + 1) % 3].cut().await;
+    fleet.sidecar_proxies[(at + 1) % 3].disconnect().await;
     assert_complete(&stream.finish().await);
 }
 
@@ -196,7 +196,7 @@
     fleet.set_faults(&fleet.upstreams[0], &faults).await;
     eventually("the engine that ends early is asked", || async {
         assert_complete(&fleet.caller(0, "anna").complete(PROMPT, TOKENS).await);
-        (fleet.engine(0).await.runs > 0).then_some(())
+        (fleet.engine_counters(0).await.runs > 0).then_some(())
     })
     .await;
 }
--- a/tests/tests/whole_path.rs
+++ b/tests/tests/whole_path.rs
@@ -24,8 +24,8 @@
     let mut cached = 0;
     let mut prompt = 0;
     for at in 0..3 {
-        cached += fleet.engine(at).await.cached_tokens;
-        prompt += fleet.engine(at).await.prompt_tokens;
+        cached += fleet.engine_counters(at).await.cached_tokens;
+        prompt += fleet.engine_counters(at).await.prompt_tokens;
     }
     assert!(cached * 10 >= prompt * 8, "{cached} of {prompt} tokens were cached");
 }
@@ -34,7 +34,7 @@
 async fn a_plain_call_reaches_its_service() {
     let fleet = Fleet::start(FleetConfig::services(1)).await;
     let caller = fleet.caller(0, "anna");
-    let reply = caller.call_once("proof-7", "the proof").await.unwrap();
+    let reply = caller.call_with_key("proof-7", "the proof").await.unwrap();
     assert_eq!(reply.status, 200);
     assert_eq!(reply.json()["key"], "proof-7");
     assert_eq!(fleet.runs_of("proof-7").await, 1);
