--- a/crates/bilberry-core/src/limits.rs
+++ b/crates/bilberry-core/src/limits.rs
@@ -64,7 +64,7 @@
 }
 
 impl CustomerLimits {
-    /// Admits a request; [`CustomerLimits::leave`] must be called when it ends.
+    /// Admits a request; [`CustomerLimits::release`] must be called when it ends.
     pub fn try_acquire(
         &mut self,
         customer: &Name,
