--- a/crates/bilberry-core/src/index.rs
+++ b/crates/bilberry-core/src/index.rs
@@ -33,7 +33,7 @@
     /// Every event since the start or the last snapshot was applied.
     Synced,
     /// Events were lost; a snapshot must be fetched.
-    Unsure,
+    Incomplete,
 }
 
 /// The cached blocks of one incarnation of one engine.
@@ -51,7 +51,7 @@
         Self {
             incarnation: 0,
             next_sequence: 0,
-            state: IndexState::Unsure,
+            state: IndexState::Incomplete,
             blocks: HashSet::new(),
         }
     }
@@ -59,12 +59,12 @@
     /// Applies an event and returns the state after it.
     pub fn apply(&mut self, event: CacheEvent) -> IndexState {
         if event.incarnation != self.incarnation {
-            self.enter(event.incarnation);
+            self.reset(event.incarnation);
         }
         match event.sequence {
             // The snapshot already includes events that precede it.
             n if n < self.next_sequence => return self.state,
-            n if n > self.next_sequence => self.state = IndexState::Unsure,
+            n if n > self.next_sequence => self.state = IndexState::Incomplete,
             _ => {}
         }
         self.next_sequence = event.sequence + 1;
@@ -76,7 +76,7 @@
     }
 
     /// Replaces the index with a snapshot taken before event `next_sequence`.
-    pub fn replace(
+    pub fn load_snapshot(
         &mut self,
         incarnation: u64,
         next_sequence: u64,
@@ -92,7 +92,7 @@
     ///
     /// A crashed engine restarts with an empty cache. If its old blocks stayed
     /// listed, requests would be routed to it and recompute their whole prompts.
-    pub fn enter(&mut self, incarnation: u64) {
+    pub fn reset(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
         self.next_sequence = 0;
         self.state = IndexState::Synced;
@@ -110,8 +110,8 @@
     }
 
     /// Marks the index as incomplete because events were lost.
-    pub fn doubt(&mut self) {
-        self.state = IndexState::Unsure;
+    pub fn mark_incomplete(&mut self) {
+        self.state = IndexState::Incomplete;
     }
 
     /// Returns the number of cached blocks.
--- a/crates/bilberry-core/src/limits.rs
+++ b/crates/bilberry-core/src/limits.rs
@@ -10,7 +10,7 @@
 
 /// The limit that a customer's request exceeds.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
-pub enum Overrun {
+pub enum LimitExceeded {
     /// The rate limit is exhausted.
     Rate {
         /// The time until a request can be admitted, in milliseconds.
@@ -64,13 +64,13 @@
 }
 
 impl CustomerLimits {
-    /// Admits a request; [`CustomerLimits::leave`] must be called when it ends.
-    pub fn enter(
+    /// Admits a request; [`CustomerLimits::release`] must be called when it ends.
+    pub fn try_acquire(
         &mut self,
         customer: &Name,
         allowance: Allowance,
         now: UnixMs,
-    ) -> Result<(), Overrun> {
+    ) -> Result<(), LimitExceeded> {
         if self.usage.len() > IDLE_CLEANUP_THRESHOLD {
             self.remove_idle(now);
         }
@@ -81,11 +81,11 @@
         usage.tokens = (usage.tokens + refill).min(allowance.burst());
         usage.refilled_at = usage.refilled_at.max(now);
         if usage.in_progress >= allowance.concurrency {
-            return Err(Overrun::Concurrency);
+            return Err(LimitExceeded::Concurrency);
         }
         if usage.tokens < 1.0 {
             let wait_ms = (1.0 - usage.tokens) / allowance.rate_per_s * 1_000.0;
-            return Err(Overrun::Rate { wait_ms: wait_ms.ceil() as u64 });
+            return Err(LimitExceeded::Rate { wait_ms: wait_ms.ceil() as u64 });
         }
         usage.tokens -= 1.0;
         usage.in_progress += 1;
@@ -93,7 +93,7 @@
     }
 
     /// Records the end of an admitted request.
-    pub fn leave(&mut self, customer: &Name) {
+    pub fn release(&mut self, customer: &Name) {
         if let Some(usage) = self.usage.get_mut(customer) {
             usage.in_progress = usage.in_progress.saturating_sub(1);
         }
--- a/crates/bilberry-core/src/placement.rs
+++ b/crates/bilberry-core/src/placement.rs
@@ -63,33 +63,33 @@
 
 /// Whether an upstream's weights may serve a request.
 #[derive(Debug, Copy, Clone, Default, PartialEq, Eq)]
-pub enum Weights {
+pub enum WeightsStatus {
     /// The weights are the newest, or older at no cost.
     #[default]
-    Fine,
+    Acceptable,
     /// The weights are older and incur a cost.
     Penalized,
     /// The weights are too old to start a request on them.
-    Barred,
+    Excluded,
 }
 
-impl Weights {
+impl WeightsStatus {
     /// Classifies weights that have been outdated for `lacking_ms`, if no request may
     /// start on older weights after `bound_ms`.
     ///
     /// The time counts from the first announcement that the upstream missed. Counted
     /// from the newest one, older weights would never be excluded while announcements
     /// arrive faster than the bound.
-    pub fn lacking(lacking_ms: Option<u64>, bound_ms: Option<u64>) -> Self {
+    pub fn classify(lacking_ms: Option<u64>, bound_ms: Option<u64>) -> Self {
         let excluded_from_ms =
             bound_ms.map(|bound_ms| bound_ms.saturating_sub(OLD_WEIGHTS_MARGIN_MS));
         match lacking_ms {
-            None => Self::Fine,
+            None => Self::Acceptable,
             Some(ms) if excluded_from_ms.is_some_and(|from_ms| ms >= from_ms) => {
-                Self::Barred
+                Self::Excluded
             }
             Some(ms) if ms >= OLD_WEIGHTS_COST_AGE_MS => Self::Penalized,
-            Some(_) => Self::Fine,
+            Some(_) => Self::Acceptable,
         }
     }
 
@@ -101,7 +101,7 @@
     /// start, a restart during an announcement would leave no server for seconds. They
     /// are therefore excluded after the settling time of the process, before which the
     /// bound does not apply.
-    pub fn assumed_lacking_ms(bound_ms: Option<u64>, settle_ms: u64) -> u64 {
+    pub fn assumed_outdated_ms(bound_ms: Option<u64>, settle_ms: u64) -> u64 {
         let bound_ms = bound_ms.unwrap_or_default();
         bound_ms.saturating_sub(OLD_WEIGHTS_MARGIN_MS).saturating_sub(settle_ms)
     }
@@ -109,13 +109,13 @@
 
 /// The known state of an upstream at placement.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Offer {
+pub struct PlacementCandidate {
     /// A hash of the upstream's identity.
     pub seed: u64,
     /// Whether it accepts work: it is up, not leaving and not loading weights.
     pub usable: bool,
     /// Whether it is in the entry's data centre.
-    pub same_place: bool,
+    pub same_data_centre: bool,
     /// The number of further requests that it can run.
     pub free_slots: u64,
     /// The number of further tokens that fit into its memory.
@@ -127,16 +127,16 @@
     /// Requests queued at it.
     pub queued: u64,
     /// Whether its weights may serve the request.
-    pub weights: Weights,
+    pub weights: WeightsStatus,
     /// Shared tokens of the request that it is known to have cached.
-    pub held_tokens: u64,
+    pub cached_tokens: u64,
     /// The time until it starts a planned load of weights, in milliseconds.
     pub loads_in_ms: Option<u64>,
 }
 
 /// The requirements of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Demand {
+pub struct PlacementRequest {
     /// A hash of the shared part of the prompt.
     pub affinity: u64,
     /// Prompt tokens that are shared with other requests.
@@ -153,7 +153,7 @@
     pub can_fetch: bool,
 }
 
-impl Demand {
+impl PlacementRequest {
     /// Returns the memory that the running request needs, in tokens.
     pub fn memory_tokens(&self) -> u64 {
         self.shared_tokens + self.own_tokens + self.output_tokens
@@ -161,42 +161,48 @@
 }
 
 /// Returns the index of the best offer; `None` if no offer has capacity.
-pub fn place(demand: &Demand, offers: &[Offer]) -> Option<usize> {
-    let scored =
-        offers.iter().enumerate().filter(|(_, offer)| has_capacity(demand, offer));
-    let scored = scored
-        .map(|(at, offer)| (cost(demand, offer), rank(demand.affinity, offer.seed), at));
+pub fn choose_upstream(
+    request: &PlacementRequest,
+    candidates: &[PlacementCandidate],
+) -> Option<usize> {
+    let scored = candidates
+        .iter()
+        .enumerate()
+        .filter(|(_, candidate)| has_capacity(request, candidate));
+    let scored = scored.map(|(at, candidate)| {
+        (cost(request, candidate), rank(request.affinity, candidate.seed), at)
+    });
     scored.min_by_key(|&(cost, rank, _)| (cost, !rank)).map(|(_, _, at)| at)
 }
 
-fn has_capacity(demand: &Demand, offer: &Offer) -> bool {
-    offer.weights != Weights::Barred
-        && offer.usable
-        && offer.free_slots > 0
-        && offer.free_tokens >= demand.memory_tokens()
+fn has_capacity(request: &PlacementRequest, candidate: &PlacementCandidate) -> bool {
+    candidate.weights != WeightsStatus::Excluded
+        && candidate.usable
+        && candidate.free_slots > 0
+        && candidate.free_tokens >= request.memory_tokens()
 }
 
-fn cost(demand: &Demand, offer: &Offer) -> u64 {
-    let missing = demand.shared_tokens.saturating_sub(offer.held_tokens);
-    let missing = match demand.can_fetch {
+fn cost(request: &PlacementRequest, candidate: &PlacementCandidate) -> u64 {
+    let missing = request.shared_tokens.saturating_sub(candidate.cached_tokens);
+    let missing = match request.can_fetch {
         true => missing / FETCH_COST_DIVISOR,
         false => missing,
     };
-    let cross_data_centre = match offer.same_place {
+    let cross_data_centre = match candidate.same_data_centre {
         true => 0,
-        false => (1 + demand.body_bytes / 1_024) * CROSS_DATA_CENTRE_COST_TOKENS_PER_KB,
+        false => (1 + request.body_bytes / 1_024) * CROSS_DATA_CENTRE_COST_TOKENS_PER_KB,
     };
-    let older_weights = match offer.weights {
-        Weights::Fine => 0,
-        Weights::Penalized | Weights::Barred => OLD_WEIGHTS_COST_TOKENS,
+    let older_weights = match candidate.weights {
+        WeightsStatus::Acceptable => 0,
+        WeightsStatus::Penalized | WeightsStatus::Excluded => OLD_WEIGHTS_COST_TOKENS,
     };
     missing
         + cross_data_centre
         + older_weights
-        + offer.pending_tokens
-        + offer.running * RUNNING_COST_TOKENS
-        + offer.queued * QUEUED_COST_TOKENS
-        + load_overlap_cost(demand, offer)
+        + candidate.pending_tokens
+        + candidate.running * RUNNING_COST_TOKENS
+        + candidate.queued * QUEUED_COST_TOKENS
+        + load_overlap_cost(request, candidate)
 }
 
 /// Returns the cost to the request of a weights load planned at an engine.
@@ -204,10 +210,10 @@
 /// New weights are announced every few seconds and the engines load them in turn, so
 /// there is nearly always an engine that will not load before a long answer ends. The
 /// cost makes such an engine preferred, so that fewer tokens are generated past a load.
-fn load_overlap_cost(demand: &Demand, offer: &Offer) -> u64 {
-    let Some(loads_in_ms) = offer.loads_in_ms else { return 0 };
-    let overlap_ms = demand.answer_ms.saturating_sub(loads_in_ms);
-    LOAD_OVERLAP_COST_TOKENS * overlap_ms / demand.answer_ms.max(1)
+fn load_overlap_cost(request: &PlacementRequest, candidate: &PlacementCandidate) -> u64 {
+    let Some(loads_in_ms) = candidate.loads_in_ms else { return 0 };
+    let overlap_ms = request.answer_ms.saturating_sub(loads_in_ms);
+    LOAD_OVERLAP_COST_TOKENS * overlap_ms / request.answer_ms.max(1)
 }
 
 /// Returns the key of a cached part of a prompt.
--- a/crates/bilberry-core/src/routing.rs
+++ b/crates/bilberry-core/src/routing.rs
@@ -19,14 +19,14 @@
 
 /// A data centre within a region.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Place {
+pub struct DataCentre {
     /// The region, such as `tw-north`.
     pub region: Name,
     /// The data centre, such as `hall-a`.
     pub hall: Name,
 }
 
-impl Place {
+impl DataCentre {
     /// Parses `region/hall`.
     pub fn parse(text: &str) -> Option<Self> {
         let (region, hall) = text.split_once('/')?;
@@ -64,9 +64,9 @@
 
 /// An upstream to probe.
 #[derive(Debug, Copy, Clone, PartialEq, Eq)]
-pub struct Seat {
+pub struct ProbeTarget {
     /// The index of the upstream.
-    pub at: usize,
+    pub index: usize,
     /// Whether it was chosen by rank, so that every entry probes it for this prompt.
     pub is_ranked: bool,
 }
@@ -75,7 +75,7 @@
 ///
 /// All callers with the same seeds agree. Removing a seed only moves the hashes for
 /// which it ranked highest.
-pub fn home(hash: u64, seeds: &[u64]) -> Option<usize> {
+pub fn highest_ranked(hash: u64, seeds: &[u64]) -> Option<usize> {
     (0..seeds.len()).max_by_key(|&at| rank(hash, seeds[at]))
 }
 
@@ -112,11 +112,11 @@
     per_depth: usize,
     limit: usize,
     random: u64,
-) -> Vec<Seat> {
-    let mut seats: Vec<Seat> = Vec::with_capacity(limit);
+) -> Vec<ProbeTarget> {
+    let mut targets: Vec<ProbeTarget> = Vec::with_capacity(limit);
     let mut add = |at: usize, is_ranked: bool, max_len: usize| {
-        if seats.len() < max_len && seats.iter().all(|seat| seat.at != at) {
-            seats.push(Seat { at, is_ranked });
+        if targets.len() < max_len && targets.iter().all(|seat| seat.index != at) {
+            targets.push(ProbeTarget { index: at, is_ranked });
         }
     };
     // One probe is reserved for the least loaded upstream, so that an idle upstream is
@@ -141,7 +141,7 @@
     if let Some((at, _)) = idle {
         add(at, false, limit);
     }
-    seats
+    targets
 }
 
 /// Returns the powers of two up to `len`, deepest first.
@@ -178,7 +178,7 @@
 
 /// The configured weighting of recomputation against waiting.
 #[derive(Debug, Copy, Clone, PartialEq)]
-pub struct Weighing {
+pub struct ScoreWeights {
     /// The cost of a millisecond of recomputation, in milliseconds of waiting.
     ///
     /// A weight of one minimizes the caller's own time to first token. A higher weight
@@ -186,7 +186,7 @@
     pub recompute_weight: f64,
 }
 
-impl Weighing {
+impl ScoreWeights {
     /// Returns the score of an upstream; lower is better.
     pub fn score(self, view: &ProbeView, prompt_blocks: u64) -> f64 {
         let compute_factor = if view.is_ranked { 1.0 } else { UNRANKED_COMPUTE_FACTOR };
@@ -199,9 +199,9 @@
 pub fn choose(
     views: &[ProbeView],
     prompt_blocks: u64,
-    weighing: Weighing,
+    score_weights: ScoreWeights,
 ) -> Option<usize> {
-    let scores = views.iter().map(|view| weighing.score(view, prompt_blocks));
+    let scores = views.iter().map(|view| score_weights.score(view, prompt_blocks));
     scores.enumerate().min_by(|a, b| a.1.total_cmp(&b.1)).map(|(at, _)| at)
 }
 
@@ -210,7 +210,7 @@
 /// The wait is a fraction of the shortest recompute time among the upstreams that have
 /// responded, so it costs little even if no other upstream has more cached. If none has
 /// responded, the wait is `max_ms`.
-pub fn patience_ms(views: &[ProbeView], prompt_blocks: u64, max_ms: f64) -> f64 {
+pub fn late_probe_wait_ms(views: &[ProbeView], prompt_blocks: u64, max_ms: f64) -> f64 {
     let wait_ms_for =
         |view: &ProbeView| view.recompute_ms(prompt_blocks) / PROBE_WAIT_DIVISOR;
     views.iter().map(wait_ms_for).reduce(f64::min).unwrap_or(max_ms).min(max_ms)
--- a/crates/bilberry-core/src/departures.rs
+++ b/crates/bilberry-core/src/tombstones.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 
 use crate::Incarnation;
+use crate::IncarnationOrder;
 use crate::Name;
-use crate::Told;
 use crate::UnixMs;
 
 /// How long a tombstone is kept; backups are only some seconds old.
@@ -24,11 +24,11 @@
 
 /// The servers that deregistered recently.
 #[derive(Debug)]
-pub struct Departures {
+pub struct Tombstones {
     expiry_ms: u64,
     tombstones: BTreeMap<Name, Tombstone>,
     /// When the restored store has expired all entries of deregistered servers.
-    doubt_until: UnixMs,
+    suspect_until: UnixMs,
 }
 
 /// The tombstone of one server.
@@ -38,18 +38,18 @@
     incarnation: Option<Incarnation>,
 }
 
-impl Departures {
+impl Tombstones {
     /// Creates an empty set for servers that renew their entries every `heartbeat_ms`.
     pub fn new(heartbeat_ms: u64) -> Self {
         Self {
             expiry_ms: heartbeat_ms * HEARTBEATS_TO_EXPIRE,
             tombstones: BTreeMap::new(),
-            doubt_until: UnixMs(0),
+            suspect_until: UnixMs(0),
         }
     }
 
     /// Records that a server deregistered, with its last known incarnation.
-    pub fn note_left(
+    pub fn mark_departed(
         &mut self,
         id: &Name,
         incarnation: Option<Incarnation>,
@@ -61,12 +61,12 @@
     }
 
     /// Records that the store was restored from an older backup.
-    pub fn note_restored(&mut self, now: UnixMs) {
-        self.doubt_until = now.plus_ms(self.expiry_ms);
+    pub fn record_restore(&mut self, now: UnixMs) {
+        self.suspect_until = now.plus_ms(self.expiry_ms);
     }
 
     /// Records that a server's entry was written, which means that the server is running.
-    pub fn note_written(&mut self, id: &str) {
+    pub fn record_registration(&mut self, id: &str) {
         self.tombstones.remove(id);
     }
 
@@ -75,7 +75,7 @@
     /// An entry with a later incarnation than the deregistered one was written by the
     /// server after a restart. An entry that is still listed after the expiry time is
     /// being renewed.
-    pub fn is_doubtful(
+    pub fn is_suspect(
         &self,
         id: &str,
         incarnation: Option<Incarnation>,
@@ -84,11 +84,13 @@
         let Some(tombstone) = self.tombstones.get(id) else { return false };
         let order = Incarnation::compare(tombstone.incarnation, incarnation);
         let is_retained = now.ms_since(tombstone.at) < TOMBSTONE_RETENTION_MS;
-        is_retained && order != Told::Newer && !self.doubt_until.has_passed_at(now)
+        is_retained
+            && order != IncarnationOrder::Newer
+            && !self.suspect_until.has_passed_at(now)
     }
 
     /// Returns when entries of deregistered servers are no longer doubtful.
-    pub fn doubt_until(&self) -> UnixMs {
-        self.doubt_until
+    pub fn suspect_until(&self) -> UnixMs {
+        self.suspect_until
     }
 }
--- a/crates/bilberry-core/tests/store_eras_model.rs
+++ b/crates/bilberry-core/tests/store_eras_model.rs
@@ -6,15 +6,15 @@
 //! The entry has read the store once before, because an entry that starts between a
 //! restore and the repeated writes cannot distinguish the backup from the newest state.
 
-use bilberry_core::Brought;
-use bilberry_core::EraTold;
+use bilberry_core::EraOrder;
 use bilberry_core::Freshness;
+use bilberry_core::PendingWatch;
 use bilberry_core::StoreCursor;
 use bilberry_core::StorePosition;
 use bilberry_core::UnixMs;
-use bilberry_core::WatchQuestion;
 use bilberry_core::WatchReply;
-use bilberry_core::known_at;
+use bilberry_core::WatchResult;
+use bilberry_core::confirmed_at;
 use proptest::prelude::*;
 
 /// The offset of the hub's clock from the entry's clock.
@@ -187,17 +187,17 @@
     version: u64,
     /// The response to the entry's own call, and when the call was made and answered.
     in_transit: Option<(Response, u64, u64)>,
-    pending_request: Option<(u64, WatchQuestion)>,
+    pending_request: Option<(u64, PendingWatch)>,
 }
 
 impl Entry {
     /// Updates the era from a response and returns how it compares with the known one.
-    fn update_era(&mut self, era: Option<u64>, now_ms: u64) -> EraTold {
-        let told = self.cursor.hear(era, UnixMs(now_ms));
-        if let EraTold::Entered(entered) = told
-            && entered.left.is_some()
+    fn update_era(&mut self, era: Option<u64>, now_ms: u64) -> EraOrder {
+        let told = self.cursor.update_era(era, UnixMs(now_ms));
+        if let EraOrder::Entered(entered) = told
+            && entered.previous.is_some()
         {
-            self.freshness.doubt(entered.noticed_at);
+            self.freshness.record_restore(entered.detected_at);
         }
         told
     }
@@ -212,19 +212,19 @@
         };
         match response {
             Response::List { position, version } => {
-                if self.update_era(position.era, now_ms) != EraTold::Over {
+                if self.update_era(position.era, now_ms) != EraOrder::Past {
                     self.install(version);
-                    self.freshness.note_copy(version < self.version);
+                    self.freshness.record_restored_state(version < self.version);
                     self.freshness.confirm_read(UnixMs(asked_ms));
                     self.cursor.advance(position.revision);
                 }
             }
-            Response::Gone => self.cursor.lose(),
+            Response::Gone => self.cursor.require_list(),
             Response::Watch { from, to, versions } => {
                 let told = self.update_era(to.era, now_ms);
                 // The response to a watch from a discarded position is ignored.
                 let is_at = self.cursor.position() == Some(from);
-                if told == EraTold::Present && is_at {
+                if told == EraOrder::Current && is_at {
                     self.apply(&versions);
                     let confirmed_ms =
                         if versions.is_empty() { answered_ms } else { asked_ms };
@@ -239,7 +239,7 @@
         for &version in versions {
             self.install(version);
             if version >= self.version {
-                self.freshness.note_written_again();
+                self.freshness.record_rewrite();
             }
         }
     }
@@ -250,18 +250,19 @@
         asked_ms: u64,
         now_ms: u64,
     ) {
-        let known = |known_ms| known_at(UnixMs(asked_ms), known_ms, UnixMs(now_ms));
+        let known =
+            |confirmed_ms| confirmed_at(UnixMs(asked_ms), confirmed_ms, UnixMs(now_ms));
         match reply {
-            WatchReply::News { position, news, known_ms } => {
+            WatchReply::Changes { position, news, confirmed_ms } => {
                 self.apply(&news);
-                self.freshness.confirm_read(known(known_ms));
+                self.freshness.confirm_read(known(confirmed_ms));
                 self.cursor.advance(position.revision);
             }
-            WatchReply::Quiet { position, known_ms } => {
-                self.freshness.confirm_read(known(known_ms));
+            WatchReply::Unchanged { position, confirmed_ms } => {
+                self.freshness.confirm_read(known(confirmed_ms));
                 self.cursor.advance(position.revision);
             }
-            WatchReply::OutOfStep => {}
+            WatchReply::OutOfSync => {}
         }
     }
 }
@@ -354,7 +355,7 @@
         let asked_ms = self.now_ms;
         self.pass(travel_ms);
         let arrived_at = UnixMs(self.now_ms + HUB_CLOCK_OFFSET_MS);
-        let question = WatchQuestion { position, arrived_at };
+        let question = PendingWatch { position, arrived_at };
         self.hub.join(position);
         if !question.is_behind(self.hub.quiet_from) {
             self.entry.pending_request = Some((asked_ms, question));
@@ -386,22 +387,22 @@
         let Response::Watch { from, to, versions } = response else {
             return self.reset_hub();
         };
-        let known_ms = if versions.is_empty() { answered_ms } else { asked_ms };
-        let brought = Brought {
+        let confirmed_ms = if versions.is_empty() { answered_ms } else { asked_ms };
+        let brought = WatchResult {
             from,
             to,
-            news: (!versions.is_empty()).then_some(versions),
-            known_at: UnixMs(known_ms + HUB_CLOCK_OFFSET_MS),
+            changes: (!versions.is_empty()).then_some(versions),
+            confirmed_at: UnixMs(confirmed_ms + HUB_CLOCK_OFFSET_MS),
         };
-        if !brought.is_of_one_era() {
+        if !brought.is_single_era() {
             return self.reset_hub();
         }
         self.hub.position = Some(to);
-        if brought.news.is_some() {
+        if brought.changes.is_some() {
             self.hub.quiet_from = to;
         }
         let Some((asked_ms, question)) = self.entry.pending_request else { return };
-        let Some(reply) = question.hear(&brought) else { return };
+        let Some(reply) = question.reply_from(&brought) else { return };
         self.entry.pending_request = None;
         if self.entry.cursor.position() == Some(question.position) {
             self.entry.receive_from_hub(reply, asked_ms, self.now_ms);
--- a/crates/bilberry-entry/src/admin.rs
+++ b/crates/bilberry-entry/src/admin.rs
@@ -7,12 +7,12 @@
 use bilberry_config::Folder;
 use bilberry_core::Name;
 use bilberry_node::HttpHandler;
-use bilberry_node::OutBody;
-use bilberry_node::json_answer;
+use bilberry_node::ResponseBody;
+use bilberry_node::json_response;
 use bilberry_node::read_body;
 use bilberry_platform::Platform;
 use bilberry_wire::Body;
-use bilberry_wire::DrainAsk;
+use bilberry_wire::DrainRequest;
 use hyper::HeaderMap;
 use hyper::Method;
 use hyper::Request;
@@ -24,7 +24,7 @@
 use crate::ApiError;
 use crate::Entry;
 use crate::ErrorKind;
-use crate::Knowledge;
+use crate::UpstreamProber;
 use crate::auth::bearer;
 use crate::auth::hash_secret;
 use crate::fleet::fleet_events;
@@ -41,7 +41,7 @@
 
 /// Serves the administration API of an entry.
 #[derive(Debug)]
-pub struct Admin<P: Platform, K: Knowledge> {
+pub struct Admin<P: Platform, K: UpstreamProber> {
     entry: Arc<Entry<P, K>>,
     administrators: Vec<Administrator>,
 }
@@ -52,7 +52,7 @@
     in_progress: u64,
 }
 
-impl<P: Platform, K: Knowledge> Admin<P, K> {
+impl<P: Platform, K: UpstreamProber> Admin<P, K> {
     /// Creates the handler.
     pub fn new(entry: Arc<Entry<P, K>>, administrators: Vec<Administrator>) -> Self {
         Self { entry, administrators }
@@ -61,7 +61,7 @@
     async fn dispatch(
         &self,
         request: Request<Incoming>,
-    ) -> Result<Response<OutBody>, ApiError> {
+    ) -> Result<Response<ResponseBody>, ApiError> {
         let author = self.authorise(request.headers())?;
         let method = request.method().clone();
         let path = request.uri().path().to_string();
@@ -113,9 +113,9 @@
             let message = format!("no sidecar of `{upstream}` is known; see `status`");
             ApiError::not_run(ErrorKind::NotFound, "upstream_not_found", message)
         })?;
-        let ask = Body::DrainAsk(DrainAsk { upstream: upstream.to_string() });
+        let ask = Body::DrainRequest(DrainRequest { upstream: upstream.to_string() });
         match self.entry.links.ask(sidecar.address, ask, DRAIN_TIMEOUT).await {
-            Ok(Body::DrainAnswer(answer)) => {
+            Ok(Body::DrainResponse(answer)) => {
                 // This entry stops routing to the upstream immediately; other entries
                 // learn of the drain from the sidecar's answers and the exchange of
                 // members between peers.
@@ -132,8 +132,11 @@
     }
 }
 
-impl<P: Platform, K: Knowledge> HttpHandler for Admin<P, K> {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
+impl<P: Platform, K: UpstreamProber> HttpHandler for Admin<P, K> {
+    async fn handle(
+        self: Arc<Self>,
+        request: Request<Incoming>,
+    ) -> Response<ResponseBody> {
         match self.dispatch(request).await {
             Ok(response) => response,
             Err(error) => error.response(),
@@ -150,6 +153,6 @@
     })
 }
 
-fn ok<T: Serialize>(value: &T) -> Result<Response<OutBody>, ApiError> {
-    Ok(json_answer(StatusCode::OK, value))
+fn ok<T: Serialize>(value: &T) -> Result<Response<ResponseBody>, ApiError> {
+    Ok(json_response(StatusCode::OK, value))
 }
--- a/crates/bilberry-entry/src/claims.rs
+++ b/crates/bilberry-entry/src/claims.rs
@@ -11,8 +11,8 @@
 use bilberry_platform::Object;
 use bilberry_platform::Platform;
 use bilberry_platform::PlatformError;
-use bilberry_platform::Settled;
-use bilberry_platform::settle;
+use bilberry_platform::WriteResult;
+use bilberry_platform::write_or_read_back;
 
 /// The key prefix of claim objects.
 const CLAIMS_PREFIX: &str = "claims/";
@@ -70,12 +70,16 @@
         let mut expected = 0;
         loop {
             let existing = match self.write(key, claim, expected).await? {
-                Settled::Written(version) => return Ok(ClaimOutcome::Acquired(version)),
-                Settled::Lost(object) => object,
+                WriteResult::Written(version) => {
+                    return Ok(ClaimOutcome::Acquired(version));
+                }
+                WriteResult::Conflict(object) => object,
             };
             let now = SystemClock.now();
             let verdict = match parse(&existing) {
-                Some(other) => other.judge(&claim.attempt, &claim.request_hash, now),
+                Some(other) => {
+                    other.verdict_for(&claim.attempt, &claim.request_hash, now)
+                }
                 None => RepeatVerdict::Unclear,
             };
             match verdict {
@@ -141,11 +145,11 @@
         key: &str,
         claim: &Claim,
         expected: u64,
-    ) -> Result<Settled, PlatformError> {
+    ) -> Result<WriteResult, PlatformError> {
         let value = serde_json::to_string(claim).expect("a claim is serializable");
         // The attempt token and the state identify this write.
         let is_ours = |found: &str| found == value;
-        settle(&self.platform, key, &value, expected, is_ours).await
+        write_or_read_back(&self.platform, key, &value, expected, is_ours).await
     }
 }
 
--- a/crates/bilberry-entry/src/completion.rs
+++ b/crates/bilberry-entry/src/completion.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use bilberry_core::Name;
-use bilberry_node::BodyPiece;
-use bilberry_node::OutBody;
+use bilberry_node::BodyChunk;
+use bilberry_node::ResponseBody;
 use bilberry_platform::Platform;
 use bytes::Bytes;
 use hyper::Response;
@@ -19,7 +19,7 @@
 use crate::CompletionStyle;
 use crate::Entry;
 use crate::ErrorKind;
-use crate::Knowledge;
+use crate::UpstreamProber;
 use crate::entry::Admitted;
 use crate::run::Run;
 use crate::run::RunOutput;
@@ -29,14 +29,14 @@
 /// The maximum number of events buffered for a caller that reads slowly.
 const MAX_BUFFERED_EVENTS: usize = 64;
 
-impl<P: Platform, K: Knowledge> Entry<P, K> {
+impl<P: Platform, K: UpstreamProber> Entry<P, K> {
     /// Handles a completion request.
     pub(crate) async fn complete(
         self: Arc<Self>,
         admitted: Admitted<P, K>,
         style: CompletionStyle,
         body: &[u8],
-    ) -> Result<Response<OutBody>, ApiError> {
+    ) -> Result<Response<ResponseBody>, ApiError> {
         let request = CompletionRequest::parse(style, body)?;
         let Admitted { compiled, customer, deadline, id, .. } = &admitted;
         let configured = compiled.models.get(&request.model);
@@ -68,10 +68,10 @@
         admitted: Admitted<P, K>,
         mut run: Run<P, K>,
         writer: CompletionWriter,
-    ) -> Result<Response<OutBody>, ApiError> {
+    ) -> Result<Response<ResponseBody>, ApiError> {
         let first = run.next().await?;
         let (pieces, body) = mpsc::channel(MAX_BUFFERED_EVENTS);
-        let write_timeout = Duration::from_millis(self.limits.unread_ms);
+        let write_timeout = Duration::from_millis(self.limits.write_timeout_ms);
         let entry = self.clone();
         let send = async move {
             let end = send_stream(&mut run, &writer, first, &pieces, write_timeout).await;
@@ -83,17 +83,17 @@
         let response = Response::builder()
             .header(CONTENT_TYPE, "text/event-stream")
             .header(CACHE_CONTROL, "no-cache")
-            .body(OutBody::Stream(body));
+            .body(ResponseBody::Stream(body));
         Ok(response.expect("constant headers are valid"))
     }
 }
 
 /// Sends a stream until it ends; returns the code under which it is counted.
-async fn send_stream<P: Platform, K: Knowledge>(
+async fn send_stream<P: Platform, K: UpstreamProber>(
     run: &mut Run<P, K>,
     writer: &CompletionWriter,
     first: RunOutput,
-    pieces: &mpsc::Sender<BodyPiece>,
+    pieces: &mpsc::Sender<BodyChunk>,
     write_timeout: Duration,
 ) -> &'static str {
     let include_usage = run.request().include_usage;
@@ -106,11 +106,11 @@
             Err(error) => (writer.error(error), Some("stream_interrupted")),
         };
         is_first = false;
-        if !send_piece(pieces, BodyPiece::Data(bytes), write_timeout).await {
+        if !send_piece(pieces, BodyChunk::Data(bytes), write_timeout).await {
             return "caller_gone";
         }
         if let Some(code) = last {
-            send_piece(pieces, BodyPiece::End, write_timeout).await;
+            send_piece(pieces, BodyChunk::End, write_timeout).await;
             return code;
         }
         output = run.next().await;
@@ -122,18 +122,18 @@
 ///
 /// Without the timeout, a caller that stops reading would occupy the engine forever.
 async fn send_piece(
-    pieces: &mpsc::Sender<BodyPiece>,
-    piece: BodyPiece,
+    pieces: &mpsc::Sender<BodyChunk>,
+    piece: BodyChunk,
     write_timeout: Duration,
 ) -> bool {
     matches!(timeout(write_timeout, pieces.send(piece)).await, Ok(Ok(())))
 }
 
 /// Collects a response that is not streamed.
-async fn collect<P: Platform, K: Knowledge>(
+async fn collect<P: Platform, K: UpstreamProber>(
     mut run: Run<P, K>,
     writer: CompletionWriter,
-) -> Result<Response<OutBody>, ApiError> {
+) -> Result<Response<ResponseBody>, ApiError> {
     let mut text = String::new();
     loop {
         match run.next().await? {
@@ -142,7 +142,7 @@
                 let body = Bytes::from(writer.full_response(&text, &end));
                 let response = Response::builder()
                     .header(CONTENT_TYPE, "application/json")
-                    .body(OutBody::whole(body));
+                    .body(ResponseBody::full(body));
                 return Ok(response.expect("constant headers are valid"));
             }
         }
--- a/crates/bilberry-entry/src/entry.rs
+++ b/crates/bilberry-entry/src/entry.rs
@@ -8,29 +8,29 @@
 use bilberry_core::Allowance;
 use bilberry_core::Clock;
 use bilberry_core::CustomerLimits;
-use bilberry_core::Overrun;
-use bilberry_core::Place;
+use bilberry_core::DataCentre;
+use bilberry_core::LimitExceeded;
 use bilberry_core::RetryBudget;
 use bilberry_core::SystemClock;
 use bilberry_core::UnixMs;
 use bilberry_core::retry_after_ms;
-use bilberry_node::Links;
 use bilberry_node::Node;
 use bilberry_node::PeerHandler;
+use bilberry_node::PeerPool;
 use bilberry_node::Readiness;
 use bilberry_node::Reply;
 use bilberry_platform::Platform;
 use bilberry_wire::Body;
 use bilberry_wire::Role;
-use bilberry_wire::StatusAnswer;
+use bilberry_wire::StatusResponse;
 use hyper::HeaderMap;
 use tokio_util::task::TaskTracker;
 
 use crate::ApiError;
 use crate::Claims;
 use crate::ErrorKind;
-use crate::Knowledge;
 use crate::Router;
+use crate::UpstreamProber;
 use crate::auth::authenticate;
 
 /// The header that sets the deadline of a request, in milliseconds from its arrival.
@@ -46,20 +46,20 @@
 #[derive(Debug, Clone, Copy)]
 pub struct EntryLimits {
     /// The maximum size of a request body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// The maximum time for receiving a request body.
-    pub body_ms: u64,
+    pub body_timeout_ms: u64,
     /// The maximum time that a write to a stream may block on a slow caller.
-    pub unread_ms: u64,
+    pub write_timeout_ms: u64,
     /// The time to wait for probe answers.
-    pub probe_ms: u64,
+    pub probe_timeout_ms: u64,
 }
 
 /// Accepts requests from callers and dispatches them to sidecars.
 #[derive(Debug)]
 pub struct Entry<P, K> {
     pub(crate) node: Arc<Node>,
-    pub(crate) links: Links,
+    pub(crate) links: PeerPool,
     pub(crate) platform: P,
     pub(crate) router: Router<K>,
     pub(crate) claims: Claims<P>,
@@ -69,17 +69,17 @@
     customers: Mutex<CustomerLimits>,
 }
 
-impl<P: Platform, K: Knowledge> Entry<P, K> {
+impl<P: Platform, K: UpstreamProber> Entry<P, K> {
     /// Creates an entry located at `place`.
     pub fn new(
         node: Arc<Node>,
-        links: Links,
+        links: PeerPool,
         platform: P,
-        place: Place,
+        place: DataCentre,
         knowledge: K,
         limits: EntryLimits,
     ) -> Arc<Self> {
-        let router = Router::new(node.clone(), place, knowledge, limits.probe_ms);
+        let router = Router::new(node.clone(), place, knowledge, limits.probe_timeout_ms);
         Arc::new(Self {
             claims: Claims::new(platform.clone()),
             node,
@@ -121,7 +121,7 @@
         let allowance =
             Allowance::share(customer.rate_per_s, customer.concurrency, entries);
         let admission =
-            self.customers.lock().unwrap().enter(&customer.name, allowance, now);
+            self.customers.lock().unwrap().try_acquire(&customer.name, allowance, now);
         admission.map_err(limit_error)?;
         Ok(Admitted {
             entry: self.clone(),
@@ -135,7 +135,7 @@
 
 /// An admitted request; dropping it releases the customer's concurrency slot.
 #[derive(Debug)]
-pub(crate) struct Admitted<P: Platform, K: Knowledge> {
+pub(crate) struct Admitted<P: Platform, K: UpstreamProber> {
     entry: Arc<Entry<P, K>>,
     pub(crate) compiled: Arc<Compiled>,
     pub(crate) customer: Arc<Customer>,
@@ -143,23 +143,23 @@
     pub(crate) id: String,
 }
 
-impl<P: Platform, K: Knowledge> Drop for Admitted<P, K> {
+impl<P: Platform, K: UpstreamProber> Drop for Admitted<P, K> {
     fn drop(&mut self) {
-        self.entry.customers.lock().unwrap().leave(&self.customer.name);
+        self.entry.customers.lock().unwrap().release(&self.customer.name);
     }
 }
 
-impl<P: Platform, K: Knowledge> PeerHandler for Entry<P, K> {
+impl<P: Platform, K: UpstreamProber> PeerHandler for Entry<P, K> {
     async fn handle(&self, body: Body, reply: Reply) {
         let answer = match body {
-            Body::StatusAsk(_) => Some(Body::StatusAnswer(StatusAnswer {
+            Body::StatusRequest(_) => Some(Body::StatusResponse(StatusResponse {
                 member: Some(self.node.member()),
                 revision: self.node.config.revision(),
                 in_progress: self.tasks.len() as u64,
                 platform_ok: self.platform.is_up(),
-                ..StatusAnswer::default()
+                ..StatusResponse::default()
             })),
-            body => self.node.answer_common(body),
+            body => self.node.handle_common_call(body),
         };
         if let Some(answer) = answer {
             reply.send(answer).await;
@@ -167,8 +167,8 @@
     }
 }
 
-impl<P: Platform, K: Knowledge> Readiness for Entry<P, K> {
-    fn hindrance(&self) -> Option<&'static str> {
+impl<P: Platform, K: UpstreamProber> Readiness for Entry<P, K> {
+    fn not_ready_reason(&self) -> Option<&'static str> {
         match self.node.config.revision() {
             0 => Some("no configuration is in force yet\n"),
             _ => None,
@@ -200,14 +200,14 @@
     }
 }
 
-fn limit_error(overrun: Overrun) -> ApiError {
+fn limit_error(overrun: LimitExceeded) -> ApiError {
     let (code, message, wait_ms) = match overrun {
-        Overrun::Rate { wait_ms } => (
+        LimitExceeded::Rate { wait_ms } => (
             "rate_limited",
             "your request rate is used up; come back after the time in Retry-After",
             wait_ms,
         ),
-        Overrun::Concurrency => (
+        LimitExceeded::Concurrency => (
             "too_many_in_progress",
             "too many of your requests are in progress; wait for one to end",
             CONCURRENCY_RETRY_AFTER_MS,
--- a/crates/bilberry-entry/src/explain.rs
+++ b/crates/bilberry-entry/src/explain.rs
@@ -1,11 +1,11 @@
 //! Records of routing decisions.
 
 use bilberry_core::Name;
-use bilberry_core::Weighing;
+use bilberry_core::ScoreWeights;
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Answered;
+use crate::ProbeResult;
 use crate::Target;
 
 /// The routing decision for one request.
@@ -46,16 +46,16 @@
     /// Creates the record of a decision among the `probed` upstreams.
     pub fn new(
         probed: &[Target],
-        answers: &[Answered],
+        answers: &[ProbeResult],
         prompt_blocks: u64,
-        weighing: Weighing,
+        weighing: ScoreWeights,
         chosen: Option<usize>,
     ) -> Self {
         let name = |at: usize| probed[at].upstream.clone();
         let (ready, unready): (Vec<_>, Vec<_>) =
             answers.iter().partition(|answer| answer.is_ready());
         let is_silent = |at: &usize| !answers.iter().any(|answer| answer.target == *at);
-        let scored = ready.iter().map(|Answered { view, .. }| ExplainedAnswer {
+        let scored = ready.iter().map(|ProbeResult { view, .. }| ExplainedAnswer {
             upstream: view.upstream.clone(),
             is_ranked: view.is_ranked,
             held_blocks: view.held_blocks,
--- a/crates/bilberry-entry/src/http_api.rs
+++ b/crates/bilberry-entry/src/http_api.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 
 use bilberry_node::HttpHandler;
-use bilberry_node::OutBody;
 use bilberry_node::ReadBodyError;
-use bilberry_node::json_answer;
+use bilberry_node::ResponseBody;
+use bilberry_node::json_response;
 use bilberry_node::read_body;
 use bilberry_platform::Platform;
 use bytes::Bytes;
@@ -23,7 +23,7 @@
 use crate::CompletionStyle;
 use crate::Entry;
 use crate::ErrorKind;
-use crate::Knowledge;
+use crate::UpstreamProber;
 use crate::auth::authenticate;
 
 /// The header that identifies a request in responses, logs and the timeline.
@@ -45,8 +45,11 @@
     owned_by: &'a str,
 }
 
-impl<P: Platform, K: Knowledge> HttpHandler for Entry<P, K> {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
+impl<P: Platform, K: UpstreamProber> HttpHandler for Entry<P, K> {
+    async fn handle(
+        self: Arc<Self>,
+        request: Request<Incoming>,
+    ) -> Response<ResponseBody> {
         let id = request_id(request.headers());
         let result = self.clone().dispatch(request, &id).await;
         let mut response = match result {
@@ -64,12 +67,12 @@
     }
 }
 
-impl<P: Platform, K: Knowledge> Entry<P, K> {
+impl<P: Platform, K: UpstreamProber> Entry<P, K> {
     async fn dispatch(
         self: Arc<Self>,
         request: Request<Incoming>,
         id: &str,
-    ) -> Result<Response<OutBody>, ApiError> {
+    ) -> Result<Response<ResponseBody>, ApiError> {
         let path = request.uri().path();
         match (request.method(), path) {
             (&Method::POST, "/v1/chat/completions") => {
@@ -98,7 +101,7 @@
         request: Request<Incoming>,
         id: &str,
         style: CompletionStyle,
-    ) -> Result<Response<OutBody>, ApiError> {
+    ) -> Result<Response<ResponseBody>, ApiError> {
         let admitted = self.admit(request.headers(), id)?;
         let body = self.read(request).await?;
         self.complete(admitted, style, &body).await
@@ -109,30 +112,34 @@
         &self,
         request: Request<Incoming>,
     ) -> Result<Bytes, ApiError> {
-        let max_bytes = self.limits.body_bytes;
+        let max_bytes = self.limits.max_body_bytes;
         // A body whose declared length exceeds the limit is rejected before it is read.
         if request.body().size_hint().lower() > max_bytes as u64 {
             return Err(body_error(ReadBodyError::TooLarge(max_bytes)));
         }
-        let read = read_body(request.into_body(), max_bytes, self.limits.body_ms).await;
+        let read =
+            read_body(request.into_body(), max_bytes, self.limits.body_timeout_ms).await;
         read.map_err(body_error)
     }
 
-    fn list_models(&self, headers: &HeaderMap) -> Result<Response<OutBody>, ApiError> {
+    fn list_models(
+        &self,
+        headers: &HeaderMap,
+    ) -> Result<Response<ResponseBody>, ApiError> {
         let compiled = self.node.config.compiled();
         let customer = authenticate(&compiled, headers)?;
         let models = customer.models.iter().filter_map(|name| compiled.models.get(name));
         let entry = |id| ModelEntry { id, object: "model", owned_by: "bilberrypaddle" };
         let data = models.map(|model| entry(model.name.as_str())).collect();
-        Ok(json_answer(StatusCode::OK, &ModelList { object: "list", data }))
+        Ok(json_response(StatusCode::OK, &ModelList { object: "list", data }))
     }
 }
 
 fn body_error(error: ReadBodyError) -> ApiError {
     let (kind, code) = match error {
         ReadBodyError::TooLarge(_) => (ErrorKind::TooLarge, "body_too_large"),
-        ReadBodyError::Late(_) => (ErrorKind::SlowRequest, "body_too_slow"),
-        ReadBodyError::Broken => (ErrorKind::Invalid, "body_incomplete"),
+        ReadBodyError::Timeout(_) => (ErrorKind::SlowRequest, "body_too_slow"),
+        ReadBodyError::Incomplete => (ErrorKind::Invalid, "body_incomplete"),
     };
     ApiError::not_run(kind, code, error.to_string())
 }
--- a/crates/bilberry-entry/src/plain.rs
+++ b/crates/bilberry-entry/src/plain.rs
@@ -7,7 +7,7 @@
 
 use bilberry_config::Service;
 use bilberry_core::Name;
-use bilberry_node::OutBody;
+use bilberry_node::ResponseBody;
 use bilberry_platform::Platform;
 use bytes::Bytes;
 use hyper::Request;
@@ -20,7 +20,7 @@
 use crate::ApiError;
 use crate::Entry;
 use crate::ErrorKind;
-use crate::Knowledge;
+use crate::UpstreamProber;
 use crate::entry::Admitted;
 use crate::replay::into_response;
 
@@ -44,13 +44,13 @@
     body: Bytes,
 }
 
-impl<P: Platform, K: Knowledge> Entry<P, K> {
+impl<P: Platform, K: UpstreamProber> Entry<P, K> {
     /// Handles a call to a plain service.
     pub(crate) async fn handle_service_call(
         self: Arc<Self>,
         request: Request<Incoming>,
         id: &str,
-    ) -> Result<Response<OutBody>, ApiError> {
+    ) -> Result<Response<ResponseBody>, ApiError> {
         let admitted = self.admit(request.headers(), id)?;
         let call = self.read_call(&admitted, request).await?;
         let non_repeatable =
@@ -111,8 +111,8 @@
         &self,
         admitted: &Admitted<P, K>,
         call: &ServiceCall,
-    ) -> Result<Response<OutBody>, ApiError> {
-        self.retry_budget.lock().unwrap().earn();
+    ) -> Result<Response<ResponseBody>, ApiError> {
+        self.retry_budget.lock().unwrap().add_credit();
         let mut tried = Vec::new();
         loop {
             let error = match self.attempt(admitted, call, &mut tried).await {
@@ -131,7 +131,7 @@
         &self,
         admitted: &Admitted<P, K>,
         call: &ServiceCall,
-    ) -> Result<Response<OutBody>, ApiError> {
+    ) -> Result<Response<ResponseBody>, ApiError> {
         match self.attempt(admitted, call, &mut Vec::new()).await {
             AttemptOutcome::Answered(answer) => Ok(into_response(answer)),
             AttemptOutcome::NotRun(error) | AttemptOutcome::Unknown(error) => Err(error),
@@ -157,7 +157,7 @@
     }
 }
 
-fn outcome_code(result: &Result<Response<OutBody>, ApiError>) -> String {
+fn outcome_code(result: &Result<Response<ResponseBody>, ApiError>) -> String {
     match result {
         Ok(response) => response.status().to_string(),
         Err(error) => error.code.clone(),
--- a/crates/bilberry-entry/src/plain/attempt.rs
+++ b/crates/bilberry-entry/src/plain/attempt.rs
@@ -6,19 +6,19 @@
 use bilberry_core::Scope;
 use bilberry_core::SystemClock;
 use bilberry_core::retry_after_ms;
-use bilberry_node::LinkError;
+use bilberry_node::PeerError;
 use bilberry_platform::Platform;
 use bilberry_wire::Body;
 use bilberry_wire::Dispatch;
-use bilberry_wire::Kind;
 use bilberry_wire::PlainAnswer;
+use bilberry_wire::RequestKind;
 use tokio::time::timeout;
 
 use crate::ApiError;
 use crate::Entry;
 use crate::ErrorKind;
-use crate::Knowledge;
 use crate::RouteRequest;
+use crate::UpstreamProber;
 use crate::entry::Admitted;
 use crate::plain::ServiceCall;
 
@@ -29,7 +29,7 @@
     Unknown(ApiError),
 }
 
-impl<P: Platform, K: Knowledge> Entry<P, K> {
+impl<P: Platform, K: UpstreamProber> Entry<P, K> {
     /// Makes one attempt at one upstream, which is added to `tried`.
     pub(super) async fn attempt(
         &self,
@@ -59,7 +59,7 @@
             }
         };
         loop {
-            let left = admitted.deadline.left(SystemClock.now());
+            let left = admitted.deadline.remaining(SystemClock.now());
             match timeout(left, call.next()).await {
                 Ok(Ok(Body::PlainAnswer(answer))) => {
                     return AttemptOutcome::Answered(answer);
@@ -81,7 +81,7 @@
     }
 }
 
-fn route_request<P: Platform, K: Knowledge>(
+fn route_request<P: Platform, K: UpstreamProber>(
     admitted: &Admitted<P, K>,
     service_call: &ServiceCall,
     tried: &[Name],
@@ -104,14 +104,14 @@
     }
 }
 
-fn dispatch<P: Platform, K: Knowledge>(
+fn dispatch<P: Platform, K: UpstreamProber>(
     admitted: &Admitted<P, K>,
     service_call: &ServiceCall,
 ) -> Dispatch {
     Dispatch {
         request: admitted.id.clone(),
         attempt_token: rand::random(),
-        kind: Kind::Plain.into(),
+        kind: RequestKind::Plain.into(),
         customer: admitted.customer.name.to_string(),
         weight: admitted.customer.weight,
         priority: u32::from(admitted.customer.priority),
@@ -125,10 +125,10 @@
     }
 }
 
-fn link_error_outcome(error: LinkError) -> AttemptOutcome {
+fn link_error_outcome(error: PeerError) -> AttemptOutcome {
     match error {
         // Only if the frame was not sent is it certain that the call did not run.
-        LinkError::Unreachable(_) => AttemptOutcome::NotRun(
+        PeerError::Unreachable(_) => AttemptOutcome::NotRun(
             ApiError::not_run(
                 ErrorKind::Unavailable,
                 "upstream_unreachable",
@@ -136,7 +136,7 @@
             )
             .retry_after(retry_after_ms(0, rand::random())),
         ),
-        LinkError::Lost(_) | LinkError::Late(_) => AttemptOutcome::Unknown(
+        PeerError::Lost(_) | PeerError::Timeout(_) => AttemptOutcome::Unknown(
             outcome_unknown_error("upstream_lost", &error.to_string()),
         ),
     }
--- a/crates/bilberry-entry/src/router.rs
+++ b/crates/bilberry-entry/src/router.rs
@@ -15,24 +15,24 @@
 use bilberry_core::Candidate;
 use bilberry_core::Chain;
 use bilberry_core::Clock;
+use bilberry_core::DataCentre;
 use bilberry_core::Name;
-use bilberry_core::Place;
+use bilberry_core::ProbeTarget;
 use bilberry_core::Scope;
-use bilberry_core::Seat;
+use bilberry_core::ScoreWeights;
 use bilberry_core::SystemClock;
 use bilberry_core::UnixMs;
-use bilberry_core::Weighing;
 use bilberry_core::candidates;
 use bilberry_core::choose;
 use bilberry_core::rendezvous;
 use bilberry_core::weights_version;
 use bilberry_node::Node;
 
-use crate::Answered;
 use crate::Explained;
-use crate::Knowledge;
-use crate::Question;
+use crate::ProbeQuery;
+use crate::ProbeResult;
 use crate::Target;
+use crate::UpstreamProber;
 
 /// The number of candidates to probe for each depth of the chain.
 const CANDIDATES_PER_DEPTH: usize = 1;
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub struct Router<K> {
     node: Arc<Node>,
-    place: Place,
+    place: DataCentre,
     knowledge: K,
     probe_timeout: Duration,
     states: Mutex<HashMap<Name, UpstreamState>>,
@@ -96,9 +96,9 @@
     pub chain: Chain,
 }
 
-impl<K: Knowledge> Router<K> {
+impl<K: UpstreamProber> Router<K> {
     /// Creates the router of an entry located at `place`.
-    pub fn new(node: Arc<Node>, place: Place, knowledge: K, probe_ms: u64) -> Self {
+    pub fn new(node: Arc<Node>, place: DataCentre, knowledge: K, probe_ms: u64) -> Self {
         Self {
             node,
             place,
@@ -128,7 +128,7 @@
             "probe" => {
                 self.probe_and_choose(pool, request, &targets, ranked, &chains).await?
             }
-            _ => ranked.first()?.at,
+            _ => ranked.first()?.index,
         };
         let target = &targets[chosen];
         let chain = chains.get(&target.weights).cloned().unwrap_or_default();
@@ -152,7 +152,7 @@
     pub fn record_failure(&self, upstream: &Name) {
         let retry_at = SystemClock.now().plus_ms(EXCLUSION_MS);
         let mut states = self.states.lock().unwrap();
-        states.entry(upstream.clone()).or_default().breaker.fail(retry_at);
+        states.entry(upstream.clone()).or_default().breaker.record_failure(retry_at);
     }
 
     /// Returns the eligible upstreams of the pool.
@@ -177,7 +177,7 @@
             {
                 return None;
             }
-            let place = Place::parse(&upstream.place)?;
+            let place = DataCentre::parse(&upstream.place)?;
             Some(Target {
                 upstream: upstream.name.clone(),
                 address: sidecar.address,
@@ -207,12 +207,12 @@
         pool: &Pool,
         targets: &[Target],
         configured_chain: &Chain,
-    ) -> Vec<Seat> {
+    ) -> Vec<ProbeTarget> {
         let round_robin = self.round_robin.fetch_add(1, Ordering::Relaxed);
         let positions = match pool.policy.as_str() {
             "round_robin" => vec![round_robin % targets.len()],
             "least_loaded" => self.least_in_flight(targets, round_robin),
-            _ if K::ASKS_ALL => (0..targets.len()).collect(),
+            _ if K::PROBES_ALL => (0..targets.len()).collect(),
             "rendezvous" => rank_by_longest_prefix(
                 configured_chain,
                 &self.load_candidates(targets),
@@ -229,7 +229,10 @@
                 );
             }
         };
-        positions.into_iter().map(|at| Seat { at, is_ranked: true }).collect()
+        positions
+            .into_iter()
+            .map(|at| ProbeTarget { index: at, is_ranked: true })
+            .collect()
     }
 
     fn load_candidates(&self, targets: &[Target]) -> Vec<Candidate> {
@@ -259,15 +262,15 @@
         pool: &Pool,
         request: &RouteRequest,
         targets: &[Target],
-        ranked: Vec<Seat>,
+        ranked: Vec<ProbeTarget>,
         chains: &HashMap<Name, Chain>,
     ) -> Option<usize> {
-        let probed = ranked.iter().map(|&Seat { at, is_ranked }| {
+        let probed = ranked.iter().map(|&ProbeTarget { index: at, is_ranked }| {
             let target = targets[at].clone();
             Target { is_ranked, ..target }
         });
         let probed: Vec<_> = probed.collect();
-        let question = Question {
+        let question = ProbeQuery {
             customer: &request.customer,
             priority: request.priority,
             prompt: &request.prompt,
@@ -275,20 +278,20 @@
             scope: &request.scope,
             wait: self.probe_timeout,
         };
-        let answers = self.knowledge.ask(&probed, &question).await;
+        let answers = self.knowledge.probe(&probed, &question).await;
         self.record_answers(&probed, &answers);
         let ready: Vec<_> = answers.iter().filter(|a| a.is_ready()).collect();
         let views: Vec<_> = ready.iter().map(|answer| answer.view.clone()).collect();
         let blocks = chains.values().map(Chain::len).max().unwrap_or(0) as u64;
-        let weighing = Weighing { recompute_weight: pool.recompute_weight };
+        let weighing = ScoreWeights { recompute_weight: pool.recompute_weight };
         let best = choose(&views, blocks, weighing).map(|at| ready[at].target);
         let explained = Explained::new(&probed, &answers, blocks, weighing, best);
         self.node.events.record(&request.request, "routed", explained.detail());
         // If no upstream answered that it is ready, the first candidate is used.
-        best.or_else(|| views.is_empty().then_some(0)).map(|at| ranked[at].at)
+        best.or_else(|| views.is_empty().then_some(0)).map(|at| ranked[at].index)
     }
 
-    fn record_answers(&self, probed: &[Target], answers: &[Answered]) {
+    fn record_answers(&self, probed: &[Target], answers: &[ProbeResult]) {
         let now = SystemClock.now();
         let mut states = self.states.lock().unwrap();
         for (at, target) in probed.iter().enumerate() {
@@ -299,9 +302,9 @@
                     entry.updated_at = now;
                     entry.weights =
                         Some(answer.weights.clone()).filter(|w| !w.is_empty());
-                    entry.breaker.succeed();
+                    entry.breaker.record_success();
                 }
-                None => entry.breaker.fail(now.plus_ms(EXCLUSION_MS)),
+                None => entry.breaker.record_failure(now.plus_ms(EXCLUSION_MS)),
             }
         }
     }
--- a/crates/bilberry-entry/src/run.rs
+++ b/crates/bilberry-entry/src/run.rs
@@ -24,7 +24,7 @@
 use crate::ApiError;
 use crate::CompletionRequest;
 use crate::Entry;
-use crate::Knowledge;
+use crate::UpstreamProber;
 
 /// The maximum number of attempts per request.
 const MAX_ATTEMPTS: u32 = 4;
@@ -41,7 +41,7 @@
 /// A completion in progress.
 ///
 /// Dropping it cancels the current attempt, including its request at the engine.
-pub(crate) struct Run<P: Platform, K: Knowledge> {
+pub(crate) struct Run<P: Platform, K: UpstreamProber> {
     entry: Arc<Entry<P, K>>,
     params: RunParams,
     cursor: StreamCursor,
@@ -72,10 +72,10 @@
     pub(crate) deadline: UnixMs,
 }
 
-impl<P: Platform, K: Knowledge> Run<P, K> {
+impl<P: Platform, K: UpstreamProber> Run<P, K> {
     pub(crate) fn new(entry: Arc<Entry<P, K>>, params: RunParams) -> Self {
         entry.node.metrics.requests.inc();
-        entry.retry_budget.lock().unwrap().earn();
+        entry.retry_budget.lock().unwrap().add_credit();
         Self {
             entry,
             params,
@@ -107,7 +107,7 @@
                 self.start_attempt().await?;
             }
             let Some(current) = &mut self.current else { continue };
-            let left = self.params.deadline.left(SystemClock.now());
+            let left = self.params.deadline.remaining(SystemClock.now());
             let message = match timeout(left, current.call.next()).await {
                 Ok(message) => message,
                 Err(_) => return Err(self.deadline_error()),
--- a/crates/bilberry-entry/src/run/attempt.rs
+++ b/crates/bilberry-entry/src/run/attempt.rs
@@ -11,13 +11,13 @@
 use bilberry_platform::Platform;
 use bilberry_wire::Body;
 use bilberry_wire::Dispatch;
-use bilberry_wire::Kind;
+use bilberry_wire::RequestKind;
 
 use crate::ApiError;
 use crate::Choice;
 use crate::Entry;
-use crate::Knowledge;
 use crate::RouteRequest;
+use crate::UpstreamProber;
 use crate::run::Run;
 
 /// The maximum number of waits per request for lost upstreams to become available.
@@ -27,19 +27,19 @@
 const LOST_UPSTREAM_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// The current attempt.
-pub(super) struct Attempt<P: Platform, K: Knowledge> {
+pub(super) struct Attempt<P: Platform, K: UpstreamProber> {
     pub(super) entry: Arc<Entry<P, K>>,
     pub(super) upstream: Name,
     pub(super) call: Call,
 }
 
-impl<P: Platform, K: Knowledge> Drop for Attempt<P, K> {
+impl<P: Platform, K: UpstreamProber> Drop for Attempt<P, K> {
     fn drop(&mut self) {
         self.entry.router.record_end(&self.upstream);
     }
 }
 
-impl<P: Platform, K: Knowledge> Run<P, K> {
+impl<P: Platform, K: UpstreamProber> Run<P, K> {
     /// Routes the request and dispatches it to a sidecar.
     pub(super) async fn start_attempt(&mut self) -> Result<(), ApiError> {
         loop {
@@ -93,7 +93,7 @@
         // link was interrupted for a moment. Without another try, a stream in a small
         // pool would end although the same upstream could continue it.
         self.waits += 1;
-        let left = self.params.deadline.left(SystemClock.now());
+        let left = self.params.deadline.remaining(SystemClock.now());
         tokio::time::sleep(LOST_UPSTREAM_RETRY_DELAY.min(left)).await;
         self.tried.clear();
         let request = RouteRequest { tried: Vec::new(), ..request };
@@ -113,7 +113,7 @@
             request: self.params.id.clone(),
             attempt_token: rand::random(),
             attempt,
-            kind: Kind::Completion.into(),
+            kind: RequestKind::Completion.into(),
             customer: self.params.customer.name.to_string(),
             cache_scope: self.params.customer.name.to_string(),
             weight: self.params.customer.weight,
--- a/crates/bilberry-gateway/examples/prompt_keys.rs
+++ b/crates/bilberry-gateway/examples/prompt_keys.rs
@@ -10,7 +10,7 @@
 use bilberry_core::StorePosition;
 use bilberry_core::UnixMs;
 use bilberry_core::part_key;
-use bilberry_gateway::Listed;
+use bilberry_gateway::Listing;
 use bilberry_gateway::PromptKeys;
 use bilberry_gateway::PromptPart;
 use bilberry_gateway::Upstream;
@@ -64,7 +64,7 @@
 
 fn hash_once(engines: &[Upstream], now: UnixMs) -> u64 {
     let keys = PromptKeys::new(black_box(SALT).to_string(), &PARTS);
-    engines.iter().map(|engine| keys.held_tokens(engine, now)).sum()
+    engines.iter().map(|engine| keys.cached_tokens(engine, now)).sum()
 }
 
 fn median_ns(compare: impl Fn() -> u64) -> f64 {
@@ -81,11 +81,11 @@
 }
 
 fn engine(number: u16) -> Upstream {
-    Upstream::new(&Listed {
+    Upstream::new(&Listing {
         id: format!("engine-{number}").into(),
         pool: "llm".into(),
         address: ([127, 0, 0, 1], number).into(),
-        place: "hall-a".into(),
+        data_centre: "hall-a".into(),
         slots: 48,
         leaving: false,
         models: Vec::new(),
--- a/crates/bilberry-gateway/src/feeds.rs
+++ b/crates/bilberry-gateway/src/feeds.rs
@@ -12,7 +12,7 @@
 use bilberry_wire::Body;
 use bilberry_wire::Frame;
 use bilberry_wire::FrameCodec;
-use bilberry_wire::WatchAnswer;
+use bilberry_wire::WatchResponse;
 use bilberry_wire::WireError;
 use futures_util::SinkExt;
 use futures_util::StreamExt;
@@ -30,7 +30,7 @@
 use crate::Gateway;
 use crate::Policy;
 use crate::Upstream;
-use crate::connections::set_options;
+use crate::connections::set_tcp_options;
 use crate::hubs::HubQuestion;
 use crate::hubs::QUESTION_QUEUE_CAPACITY;
 use crate::upstreams::UpstreamsByPool;
@@ -147,9 +147,9 @@
     let timed_out = |_| std::io::Error::from(std::io::ErrorKind::TimedOut);
     let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let connected = connecting.await.map_err(timed_out)?;
-    gateway.sidecars.note(address.ip(), &connected, gateway.clock.now());
+    gateway.sidecars.record_connect(address.ip(), &connected, gateway.clock.now());
     let stream = connected?;
-    set_options(&stream);
+    set_tcp_options(&stream);
     let mut framed = Framed::new(stream, FrameCodec::new());
     let (queue, mut queued) = mpsc::channel(NOTICE_QUEUE_CAPACITY);
     let (questions, mut queued_questions) = mpsc::channel(QUESTION_QUEUE_CAPACITY);
@@ -209,7 +209,7 @@
         let state = match body {
             Some(Body::UpstreamState(state)) => Some(state),
             Some(Body::CacheChange(change)) => {
-                gateway.note_cache(id, &change);
+                gateway.apply_cache_change(id, &change);
                 None
             }
             Some(Body::StoreChange(change)) => {
@@ -220,7 +220,7 @@
                 gateway.merge_crash_notice(notice);
                 None
             }
-            Some(Body::WatchAnswer(answer)) => {
+            Some(Body::WatchResponse(answer)) => {
                 pending.resolve(call, answer);
                 None
             }
@@ -231,7 +231,7 @@
                 let address = address.to_string();
                 log::info!(target: "sidecar", upstream = id.as_str(), address = address.as_str(); "heard");
             }
-            gateway.hear(id, state);
+            gateway.apply_sidecar_state(id, state);
             registration.get_or_insert_with(|| {
                 gateway.hubs.register(address, &upstream, questions.clone())
             });
@@ -243,7 +243,7 @@
 #[derive(Debug, Default)]
 struct PendingQuestions {
     last_call: u64,
-    replies: HashMap<u64, oneshot::Sender<WatchAnswer>>,
+    replies: HashMap<u64, oneshot::Sender<WatchResponse>>,
 }
 
 impl PendingQuestions {
@@ -253,12 +253,12 @@
         self.replies.retain(|_, reply| !reply.is_closed());
         self.last_call += 1;
         self.replies.insert(self.last_call, question.reply);
-        let body = Some(Body::WatchAsk(question.ask));
+        let body = Some(Body::WatchRequest(question.ask));
         Frame { call: self.last_call, body, ..Frame::default() }
     }
 
     /// Passes an answer to the sender of its question.
-    fn resolve(&mut self, call: u64, answer: WatchAnswer) {
+    fn resolve(&mut self, call: u64, answer: WatchResponse) {
         if let Some(reply) = self.replies.remove(&call) {
             let _ = reply.send(answer);
         }
--- a/crates/bilberry-gateway/src/gateway.rs
+++ b/crates/bilberry-gateway/src/gateway.rs
@@ -7,32 +7,32 @@
 use std::sync::atomic::Ordering;
 
 use arc_swap::ArcSwapOption;
-use bilberry_core::BudgetTerms;
+use bilberry_core::BudgetLimits;
 use bilberry_core::Clock;
 use bilberry_core::EntryCount;
 use bilberry_core::Freshness;
 use bilberry_core::Name;
 use bilberry_core::Outage;
-use bilberry_core::Readings;
-use bilberry_core::Repeat;
-use bilberry_core::SharedBudget;
+use bilberry_core::PrefillsInProgress;
+use bilberry_core::RetryKind;
+use bilberry_core::SharedRetryBudget;
 use bilberry_core::UnixMs;
 use bilberry_wire::CacheChange;
 use bilberry_wire::UpstreamState;
 use tokio::sync::watch;
 
-use crate::Connections;
+use crate::ConnectionPool;
 use crate::Dialect;
 use crate::GatewayMetrics;
 use crate::Hubs;
 use crate::KnownWeights;
-use crate::Listed;
+use crate::Listing;
 use crate::LogLineBudget;
-use crate::Pace;
 use crate::Policy;
 use crate::PromptStore;
 use crate::PromptStores;
-use crate::SidecarSigns;
+use crate::SidecarPresenceMap;
+use crate::SpeedEstimates;
 use crate::Upstream;
 use crate::Upstreams;
 use crate::known_crashes::KnownCrashes;
@@ -42,13 +42,13 @@
 #[derive(Debug, Clone)]
 pub struct GatewaySettings {
     /// The entry's data centre.
-    pub place: Name,
+    pub data_centre: Name,
     /// How long API keys stay valid after the last confirmation, if bounded.
-    pub keys_good_ms: Option<u64>,
+    pub key_max_age_ms: Option<u64>,
     /// How long requests may still start on outdated weights, if bounded.
-    pub weights_bound_ms: Option<u64>,
+    pub outdated_weights_max_ms: Option<u64>,
     /// The retry budget.
-    pub budget: BudgetTerms,
+    pub budget: BudgetLimits,
 }
 
 /// An entry that forwards requests to upstreams.
@@ -63,7 +63,7 @@
     /// All known upstreams.
     pub upstreams: Upstreams,
     /// The pool of connections to upstreams.
-    pub connections: Connections<C>,
+    pub connections: ConnectionPool<C>,
     /// Counters and histograms.
     pub metrics: GatewayMetrics,
     /// The prompt stores.
@@ -73,16 +73,16 @@
     /// The sidecars that can relay the platform store's changes to this entry.
     pub hubs: Hubs,
     /// Which engine hosts have shown that they run a sidecar.
-    pub sidecars: SidecarSigns,
+    pub sidecars: SidecarPresenceMap,
     pub(crate) crashes: KnownCrashes,
-    pub(crate) pace: Pace,
-    pub(crate) readings: Mutex<Readings>,
-    pub(crate) lines: LogLineBudget,
+    pub(crate) speed: SpeedEstimates,
+    pub(crate) readings: Mutex<PrefillsInProgress>,
+    pub(crate) log_budget: LogLineBudget,
     pub(crate) pool_summaries: watch::Sender<PoolSummaries>,
     policy: ArcSwapOption<Policy>,
     policy_freshness: Mutex<Freshness>,
     store_freshness: Mutex<Freshness>,
-    budgets: Mutex<HashMap<Name, SharedBudget>>,
+    budgets: Mutex<HashMap<Name, SharedRetryBudget>>,
     pub(crate) outages: Mutex<HashMap<Name, Outage>>,
     pub(crate) entries: Mutex<EntryCount>,
     stopping: AtomicBool,
@@ -93,7 +93,7 @@
     pub fn new(dialect: D, clock: C, settings: GatewaySettings) -> Self {
         Self {
             dialect,
-            connections: Connections::new(clock.clone()),
+            connections: ConnectionPool::new(clock.clone()),
             clock,
             settings,
             upstreams: Upstreams::default(),
@@ -101,11 +101,11 @@
             stores: PromptStores::default(),
             weights: KnownWeights::default(),
             hubs: Hubs::default(),
-            sidecars: SidecarSigns::default(),
+            sidecars: SidecarPresenceMap::default(),
             crashes: KnownCrashes::default(),
-            pace: Pace::default(),
+            speed: SpeedEstimates::default(),
             readings: Mutex::default(),
-            lines: LogLineBudget::default(),
+            log_budget: LogLineBudget::default(),
             pool_summaries: watch::Sender::default(),
             policy: ArcSwapOption::empty(),
             policy_freshness: Mutex::default(),
@@ -123,7 +123,7 @@
     }
 
     /// Activates a configuration, unless the active one is as new or newer.
-    pub fn install(&self, policy: Policy) {
+    pub fn apply_policy(&self, policy: Policy) {
         let newer = |known: &Arc<Policy>| known.version >= policy.version;
         if self.policy.load().as_ref().is_some_and(newer) {
             return;
@@ -136,8 +136,8 @@
             "in force"
         );
         self.metrics.config_version.set(policy.version as i64);
-        self.upstreams.name_pools(policy.pools.keys().cloned());
-        self.stores.name(&policy);
+        self.upstreams.set_configured_pools(policy.pools.keys().cloned());
+        self.stores.configure(&policy);
         self.policy.store(Some(Arc::new(policy)));
     }
 
@@ -148,8 +148,8 @@
 
     /// Returns when the configuration may confirm keys again after the store was restored
     /// from an older copy; `None` if it confirms them.
-    pub fn policy_doubted_until(&self) -> Option<UnixMs> {
-        self.policy_freshness.lock().unwrap().doubted_until()
+    pub fn policy_unconfirmed_until(&self) -> Option<UnixMs> {
+        self.policy_freshness.lock().unwrap().unverified_until()
     }
 
     /// Reports whether the configuration was confirmed within the last `within_ms`.
@@ -158,7 +158,7 @@
     }
 
     /// Records that the platform store answered a request that this entry sent directly.
-    pub fn note_store_reached(&self, asked_at: UnixMs) {
+    pub fn record_store_contact(&self, asked_at: UnixMs) {
         self.store_freshness.lock().unwrap().confirm_read(asked_at);
     }
 
@@ -172,13 +172,13 @@
     ///
     /// A key may have been revoked while this entry can't reach the store. Once the bound
     /// has passed, the entry refuses all callers that need a key.
-    pub fn keys_are_good(&self) -> bool {
-        self.settings.keys_good_ms.is_none_or(|good_ms| self.policy_is_fresh(good_ms))
+    pub fn are_keys_confirmed(&self) -> bool {
+        self.settings.key_max_age_ms.is_none_or(|good_ms| self.policy_is_fresh(good_ms))
     }
 
     /// Reports whether this entry should receive new callers.
     pub fn is_ready(&self) -> bool {
-        let fresh = match self.settings.keys_good_ms {
+        let fresh = match self.settings.key_max_age_ms {
             // Half the bound, so that callers move before they are refused. Confirmations
             // through a hub keep the keys of existing callers valid; new callers are
             // better served by an entry that doesn't depend on a hub.
@@ -188,7 +188,7 @@
             }
             None => true,
         };
-        let knows_all = self.policy().is_some() && self.upstreams.is_listed();
+        let knows_all = self.policy().is_some() && self.upstreams.is_list_complete();
         !self.is_stopping() && knows_all && fresh
     }
 
@@ -198,9 +198,9 @@
     /// configuration. Were all of them unready, callers would have no entry left although
     /// their keys are still valid at each.
     fn is_fresh_enough(&self, within_ms: u64) -> bool {
-        let has_doubt = self.policy_freshness.lock().unwrap().has_doubt();
+        let has_doubt = self.policy_freshness.lock().unwrap().has_unverified_restore();
         match has_doubt {
-            true => self.keys_are_good(),
+            true => self.are_keys_confirmed(),
             false => self.policy_is_fresh(within_ms),
         }
     }
@@ -222,9 +222,9 @@
     }
 
     /// Takes one retry from the service's budget; returns false if none is left.
-    pub(crate) fn may_repeat(&self, pool: &Name, repeat: Repeat) -> bool {
+    pub(crate) fn try_spend_retry(&self, pool: &Name, repeat: RetryKind) -> bool {
         let now = self.clock.now();
-        let entries = self.entries.lock().unwrap().get();
+        let entries = self.entries.lock().unwrap().current();
         self.with_budget(pool, |budget| budget.spend(now, entries, repeat))
     }
 
@@ -239,7 +239,12 @@
         // Unlike for retries, the last known count is not used while no sidecar reports
         // one: the same sidecars report what the store holds, and speculative fetches
         // would overload its link.
-        store.may_move(now, tokens, &upstream.place, self.entries_seen(now))
+        store.try_reserve_transfer(
+            now,
+            tokens,
+            &upstream.data_centre,
+            self.entries_seen(now),
+        )
     }
 
     /// Returns the number of entries, if any sidecar reports it.
@@ -248,9 +253,13 @@
         self.upstreams.all().iter().filter_map(seen).max()
     }
 
-    fn with_budget<T>(&self, pool: &Name, act: impl FnOnce(&mut SharedBudget) -> T) -> T {
+    fn with_budget<T>(
+        &self,
+        pool: &Name,
+        act: impl FnOnce(&mut SharedRetryBudget) -> T,
+    ) -> T {
         let mut budgets = self.budgets.lock().unwrap();
-        let fresh = || SharedBudget::new(self.settings.budget);
+        let fresh = || SharedRetryBudget::new(self.settings.budget);
         act(budgets.entry(pool.clone()).or_insert_with(fresh))
     }
 
@@ -262,39 +271,39 @@
         left_ms: u64,
     ) -> Option<(u64, u64)> {
         let outages = self.outages.lock().unwrap();
-        outages.get(pool)?.come_back_ms(self.clock.now(), left_ms)
+        outages.get(pool)?.retry_delay_ms(self.clock.now(), left_ms)
     }
 
     /// Applies one record of the list of upstreams.
-    pub fn list(&self, listed: &Listed) {
-        let ended = self.upstreams.put(listed);
+    pub fn apply_listing(&self, listed: &Listing) {
+        let ended = self.upstreams.apply_listing(listed);
         ended.iter().for_each(|ended| self.on_incarnation_end(ended));
     }
 
     /// Applies a state update from the sidecar of an upstream.
-    pub fn hear(&self, id: &Name, state: UpstreamState) {
+    pub fn apply_sidecar_state(&self, id: &Name, state: UpstreamState) {
         let now = self.clock.now();
-        self.entries.lock().unwrap().hear(now, state.entries as usize);
-        let ended = self.upstreams.feed(id, state, now);
+        self.entries.lock().unwrap().record_report(now, state.entries as usize);
+        let ended = self.upstreams.apply_state(id, state, now);
         ended.iter().for_each(|ended| self.on_incarnation_end(ended));
     }
 
     /// Applies a change of an upstream's cache, if it is from the current incarnation.
-    pub fn note_cache(&self, id: &Name, change: &CacheChange) {
+    pub fn apply_cache_change(&self, id: &Name, change: &CacheChange) {
         let now = self.clock.now();
-        if self.upstreams.cache_change(id, change, now) {
+        if self.upstreams.apply_cache_change(id, change, now) {
             if let Some(upstream) = self.upstreams.get(id) {
-                self.note_readings(&upstream, &change.reading, now);
+                self.record_prefills(&upstream, &change.reading, now);
             }
-            self.note_read(&change.added);
-            self.stores.note_read(id, &change.added, now);
+            self.record_prefills_done(&change.added);
+            self.stores.record_prefilled(id, &change.added, now);
         }
     }
 
     /// Discards the state of an incarnation that has ended.
     fn on_incarnation_end(&self, ended: &Upstream) {
         // Parts that it was to save to the prompt store may never have been sent.
-        self.stores.forget_giver(&ended.id);
+        self.stores.forget_writer(&ended.id);
         self.connections.close_idle_to(ended.address);
         log::info!(target: "upstream", upstream = ended.id.as_str(); "started again");
     }
--- a/crates/bilberry-gateway/src/hubs.rs
+++ b/crates/bilberry-gateway/src/hubs.rs
@@ -9,8 +9,8 @@
 use bilberry_core::Name;
 use bilberry_core::UnixMs;
 use bilberry_core::choose_hub;
-use bilberry_wire::WatchAnswer;
-use bilberry_wire::WatchAsk;
+use bilberry_wire::WatchRequest;
+use bilberry_wire::WatchResponse;
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 use tokio::time::timeout;
@@ -39,8 +39,8 @@
 /// A question to a sidecar and the channel for its answer.
 #[derive(Debug)]
 pub(crate) struct HubQuestion {
-    pub(crate) ask: WatchAsk,
-    pub(crate) reply: oneshot::Sender<WatchAnswer>,
+    pub(crate) ask: WatchRequest,
+    pub(crate) reply: oneshot::Sender<WatchResponse>,
 }
 
 /// The registration of a connected sidecar, which is removed on drop.
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum HubReply {
     /// The hub's answer.
-    Answer(WatchAnswer),
+    Answer(WatchResponse),
     /// The hub did not answer in time, or its connection was lost.
     Silent,
     /// No sidecar is chosen to watch for this entry.
@@ -69,7 +69,7 @@
         questions: mpsc::Sender<HubQuestion>,
     ) -> HubRegistration<'_> {
         let candidate =
-            HubCandidate { place: upstream.place.clone(), seed: upstream.seed };
+            HubCandidate { place: upstream.data_centre.clone(), seed: upstream.seed };
         self.links.lock().unwrap().insert(address, HubLink { candidate, questions });
         HubRegistration { hubs: self, address }
     }
@@ -91,16 +91,17 @@
 impl<D: Dialect, C: Clock> Gateway<D, C> {
     /// Sends a question to the sidecar that watches the store for this data centre's
     /// entries.
-    pub async fn ask_hub(&self, ask: WatchAsk, until: UnixMs) -> HubReply {
-        let entries = self.entries.lock().unwrap().get().unwrap_or_default();
-        let Some(questions) = self.hubs.choose(&self.settings.place, entries) else {
+    pub async fn ask_hub(&self, ask: WatchRequest, until: UnixMs) -> HubReply {
+        let entries = self.entries.lock().unwrap().current().unwrap_or_default();
+        let Some(questions) = self.hubs.choose(&self.settings.data_centre, entries)
+        else {
             return HubReply::NoHub;
         };
         let (reply, answered) = oneshot::channel();
         if questions.try_send(HubQuestion { ask, reply }).is_err() {
             return HubReply::Silent;
         }
-        match timeout(until.left(self.clock.now()), answered).await {
+        match timeout(until.remaining(self.clock.now()), answered).await {
             Ok(Ok(answer)) => HubReply::Answer(answer),
             _ => HubReply::Silent,
         }
--- a/crates/bilberry-gateway/src/known_crashes.rs
+++ b/crates/bilberry-gateway/src/known_crashes.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Mutex;
 
+use bilberry_core::CompletedRequests;
 use bilberry_core::CrashLedger;
 use bilberry_core::CrashReport;
 use bilberry_core::RequestKey;
-use bilberry_core::ServedRequests;
-use bilberry_core::Standing;
+use bilberry_core::RequestStatus;
 use bilberry_core::UnixMs;
 use bilberry_wire::CrashNotice;
 use xxhash_rust::xxh3::xxh3_64;
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct KnownCrashes {
     ledger: Mutex<CrashLedger>,
-    served: Mutex<ServedRequests>,
+    served: Mutex<CompletedRequests>,
 }
 
 /// A hash of an upstream's id and the start time of its known incarnation, the same at
@@ -34,7 +34,8 @@
     /// Hashes the incarnation that the list or the sidecar reports; the start time is 0
     /// if none is known.
     pub(crate) fn of(upstream: &Upstream) -> Self {
-        let start = upstream.incarnation().map_or(0, |incarnation| incarnation.born_at.0);
+        let start =
+            upstream.incarnation().map_or(0, |incarnation| incarnation.started_at.0);
         Self(xxh3_64(format!("{}/{start}", upstream.id).as_bytes()))
     }
 
@@ -78,9 +79,9 @@
         let mut quarantined: Vec<_> = requests
             .into_iter()
             .zip(before)
-            .filter(|(_, before)| !matches!(before, Standing::Quarantined { .. }))
+            .filter(|(_, before)| !matches!(before, RequestStatus::Quarantined { .. }))
             .filter_map(|(request, _)| match self.standing(request, now) {
-                Standing::Quarantined { until } => Some((request, until)),
+                RequestStatus::Quarantined { until } => Some((request, until)),
                 _ => None,
             })
             .collect();
@@ -99,7 +100,7 @@
     }
 
     /// Returns whether and how a request may be sent.
-    pub(crate) fn standing(&self, request: RequestKey, now: UnixMs) -> Standing {
+    pub(crate) fn standing(&self, request: RequestKey, now: UnixMs) -> RequestStatus {
         self.ledger.lock().unwrap().standing(request, now)
     }
 
@@ -120,7 +121,7 @@
     /// Returns the notices that are sent to a sidecar when it connects.
     pub(crate) fn notices(&self, now: UnixMs) -> Vec<CrashNotice> {
         let reports = self.ledger.lock().unwrap().reports_on_suspects(now);
-        CrashNotice::of(&reports).collect()
+        CrashNotice::batches(&reports).collect()
     }
 
     fn void_crashes_of_served(
--- a/crates/bilberry-gateway/src/listed.rs
+++ b/crates/bilberry-gateway/src/listing.rs
@@ -8,7 +8,7 @@
 
 /// An upstream as the platform lists it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listed {
+pub struct Listing {
     /// Its id.
     pub id: Name,
     /// Its service.
@@ -16,7 +16,7 @@
     /// Its address.
     pub address: SocketAddr,
     /// Its data centre.
-    pub place: Name,
+    pub data_centre: Name,
     /// The number of requests that it runs concurrently.
     pub slots: u64,
     /// Whether it is leaving: it completes its runs and takes no new ones.
--- a/crates/bilberry-gateway/src/unattended.rs
+++ b/crates/bilberry-gateway/src/missing_weights.rs
@@ -17,7 +17,7 @@
 
 /// Whether hosts have a sidecar, as observed from connection attempts.
 #[derive(Debug, Default)]
-pub struct SidecarSigns {
+pub struct SidecarPresenceMap {
     by_host: Mutex<HashMap<IpAddr, SidecarPresence>>,
 }
 
@@ -31,11 +31,16 @@
     Seen,
 }
 
-impl SidecarSigns {
+impl SidecarPresenceMap {
     /// Records the result of a connection attempt to the sidecar of a host.
     ///
     /// A timeout is ignored, as the host may be partitioned or suspended.
-    pub fn note<T>(&self, host: IpAddr, connected: &io::Result<T>, now: UnixMs) {
+    pub fn record_connect<T>(
+        &self,
+        host: IpAddr,
+        connected: &io::Result<T>,
+        now: UnixMs,
+    ) {
         let mut by_host = self.by_host.lock().unwrap();
         match connected {
             Ok(_) => {
@@ -62,7 +67,7 @@
 
 /// An engine that lacks a version of its weights and has no sidecar to order it.
 #[derive(Debug, Clone)]
-pub struct Unattended {
+pub struct MissingWeights {
     /// The engine.
     pub upstream: Arc<Upstream>,
     /// The model.
@@ -98,11 +103,11 @@
 
     /// Returns the first model of which an engine without a sidecar lacks the newest
     /// weights.
-    pub fn lacking(&self, upstream: &Arc<Upstream>) -> Option<Unattended> {
+    pub fn missing_weights(&self, upstream: &Arc<Upstream>) -> Option<MissingWeights> {
         let now = self.clock.now();
         let lacking = |(model, version): (Name, u64)| {
             let lacking_ms = self.weights.lacking_ms(&model, Some(version), now)?;
-            Some(Unattended {
+            Some(MissingWeights {
                 upstream: upstream.clone(),
                 version: self.weights.newest(&model)?,
                 model,
--- a/crates/bilberry-gateway/src/prompt_stores.rs
+++ b/crates/bilberry-gateway/src/prompt_stores.rs
@@ -12,18 +12,18 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
 
-use bilberry_core::LinkShare;
+use bilberry_core::LinkBudget;
 use bilberry_core::Name;
 use bilberry_core::Transfer;
 use bilberry_core::UnixMs;
-use bilberry_core::home;
+use bilberry_core::highest_ranked;
 use bilberry_wire::StoreChange;
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::KeptParts;
 use crate::Policy;
-use crate::PromptStoreTerms;
+use crate::PromptStoreConfig;
+use crate::StoreContents;
 
 /// The stores of cached prompts that the configuration names.
 #[derive(Debug, Default)]
@@ -39,14 +39,14 @@
 #[derive(Debug)]
 pub struct PromptStore {
     /// Its settings in the configuration.
-    pub terms: PromptStoreTerms,
+    pub terms: PromptStoreConfig,
     /// A hash of its address.
     pub seed: u64,
     /// The parts that it is assumed to hold.
-    pub kept: KeptParts,
+    pub contents: StoreContents,
     /// The capacity of its link in tokens per second, if configured.
     link_tokens_per_s: Option<f64>,
-    link: Mutex<LinkShare>,
+    link: Mutex<LinkBudget>,
     answers: AtomicBool,
     answering_changed: Arc<Notify>,
 }
@@ -54,7 +54,7 @@
 impl PromptStores {
     /// Replaces the stores by those of a configuration; a store with unchanged settings
     /// keeps its state.
-    pub fn name(&self, policy: &Policy) {
+    pub fn configure(&self, policy: &Policy) {
         let mut by_address = self.by_address.lock().unwrap();
         let configured = policy.prompt_stores().map(|terms| {
             let link_tokens_per_s = policy.store_tokens_per_s(terms);
@@ -88,7 +88,7 @@
     }
 
     /// Reports whether any store answers.
-    pub fn any_answers(&self) -> bool {
+    pub fn any_reachable(&self) -> bool {
         self.by_address.lock().unwrap().values().any(|store| store.answers())
     }
 
@@ -101,22 +101,22 @@
     pub fn home(&self, subject: u64) -> Option<Arc<PromptStore>> {
         let mut answering = self.answering();
         let seeds: Vec<u64> = answering.iter().map(|store| store.seed).collect();
-        home(subject, &seeds).map(|at| answering.swap_remove(at))
+        highest_ranked(subject, &seeds).map(|at| answering.swap_remove(at))
     }
 
     /// Records parts that an upstream has prefilled and may have written to a store.
     ///
     /// Recorded for all stores, until a sidecar reports their contents. This is harmless,
     /// as a part that is deep in a prompt is only requested from its home store.
-    pub fn note_read(&self, writer: &Name, keys: &[u64], now: UnixMs) {
+    pub fn record_prefilled(&self, writer: &Name, keys: &[u64], now: UnixMs) {
         for store in self.all() {
-            keys.iter().for_each(|&key| store.kept.record_write(writer, key, now));
+            keys.iter().for_each(|&key| store.contents.record_write(writer, key, now));
         }
     }
 
     /// Discards the writes of an upstream that has restarted.
-    pub fn forget_giver(&self, writer: &str) {
-        self.all().iter().for_each(|store| store.kept.forget_writer(writer));
+    pub fn forget_writer(&self, writer: &str) {
+        self.all().iter().for_each(|store| store.contents.forget_writer(writer));
     }
 
     /// Applies a change of a store's contents that a sidecar reports.
@@ -127,7 +127,7 @@
         };
         let store = self.by_address.lock().unwrap().get(&address).cloned();
         if let (Some(store), Some(change)) = (store, &report.change) {
-            store.kept.apply_report(reporter, change);
+            store.contents.apply_report(reporter, change);
         }
     }
 
@@ -135,7 +135,7 @@
     pub fn forget_reporter(&self, reporter: &str, followed: &[String]) {
         for store in self.all() {
             if !followed.contains(&store.terms.address.to_string()) {
-                store.kept.forget_reporter(reporter);
+                store.contents.forget_reporter(reporter);
             }
         }
     }
@@ -144,14 +144,14 @@
 impl PromptStore {
     /// Creates a store with unknown contents that does not answer yet.
     pub fn new(
-        terms: PromptStoreTerms,
+        terms: PromptStoreConfig,
         link_tokens_per_s: Option<f64>,
         answering_changed: Arc<Notify>,
     ) -> Self {
         Self {
             seed: xxh3_64(terms.address.to_string().as_bytes()),
             terms,
-            kept: KeptParts::default(),
+            contents: StoreContents::default(),
             link_tokens_per_s,
             link: Mutex::default(),
             answers: AtomicBool::new(false),
@@ -165,9 +165,9 @@
     }
 
     /// Sets whether it answers; a store that does not is assumed to come back empty.
-    pub fn set_answers(&self, answers: bool) {
+    pub fn set_reachable(&self, answers: bool) {
         if !answers {
-            self.kept.clear();
+            self.contents.clear();
         }
         if self.answers.swap(answers, Ordering::Relaxed) != answers {
             self.answering_changed.notify_one();
@@ -176,7 +176,7 @@
 
     /// Claims a transfer in this entry's share of the store's link; returns whether it
     /// fits.
-    pub fn may_move(
+    pub fn try_reserve_transfer(
         &self,
         now: UnixMs,
         tokens: u64,
@@ -185,8 +185,8 @@
     ) -> bool {
         // A link without a configured capacity is not limited.
         let Some(tokens_per_s) = self.link_tokens_per_s else { return true };
-        let same_place = self.terms.place.as_ref() == Some(place);
-        let transfer = Transfer { tokens, same_place };
-        self.link.lock().unwrap().take(now, transfer, tokens_per_s, entries)
+        let same_data_centre = self.terms.data_centre.as_ref() == Some(place);
+        let transfer = Transfer { tokens, same_data_centre };
+        self.link.lock().unwrap().try_take(now, transfer, tokens_per_s, entries)
     }
 }
--- a/crates/bilberry-gateway/src/refusal.rs
+++ b/crates/bilberry-gateway/src/refusal.rs
@@ -1,7 +1,7 @@
 //! Error responses that the gateway generates itself.
 
-use bilberry_node::OutBody;
-use bilberry_node::json_answer;
+use bilberry_node::ResponseBody;
+use bilberry_node::json_response;
 use hyper::Response;
 use hyper::StatusCode;
 use hyper::header::CONNECTION;
@@ -10,7 +10,7 @@
 use serde::Serialize;
 use thiserror::Error;
 
-use crate::BadCall;
+use crate::InvalidHeader;
 
 /// Why the gateway responds with an error of its own.
 ///
@@ -19,7 +19,7 @@
 pub enum Refusal {
     /// A header is not valid.
     #[error("{0}")]
-    BadRequest(#[from] BadCall),
+    BadRequest(#[from] InvalidHeader),
     /// The head is too large.
     #[error("the head is over {0} bytes; shorten it")]
     HeadTooLarge(usize),
@@ -117,9 +117,9 @@
     }
 
     /// Builds the response; `retry_after_ms` is used only if the request did not run.
-    pub fn to_response(&self, retry_after_ms: u64) -> Response<OutBody> {
+    pub fn to_response(&self, retry_after_ms: u64) -> Response<ResponseBody> {
         let body = Body { code: self.code(), message: self.to_string() };
-        let mut response = json_answer(self.status(), &body);
+        let mut response = json_response(self.status(), &body);
         let headers = response.headers_mut();
         if self.guarantees_not_run() {
             let seconds = format!("{:.3}", retry_after_ms as f64 / 1_000.0);
--- a/crates/bilberry-gateway/src/relay.rs
+++ b/crates/bilberry-gateway/src/relay.rs
@@ -6,9 +6,9 @@
 
 use bilberry_core::Clock;
 use bilberry_core::EventSplitter;
-use bilberry_core::Repeat;
-use bilberry_node::BodyPiece;
-use bilberry_node::OutBody;
+use bilberry_core::RetryKind;
+use bilberry_node::BodyChunk;
+use bilberry_node::ResponseBody;
 use bytes::Bytes;
 use futures_util::FutureExt;
 use futures_util::future::Fuse;
@@ -28,14 +28,14 @@
 use crate::CallKind;
 use crate::Dialect;
 use crate::Gateway;
-use crate::Job;
+use crate::RequestContext;
 use crate::Upstream;
+use crate::body_relay::BODY_CHANNEL_CAPACITY;
+use crate::body_relay::BodyEnd;
 use crate::forward::UpstreamResponse;
-use crate::passing::BODY_CHANNEL_CAPACITY;
-use crate::passing::BodyEnd;
-use crate::stopping::FirstRunEnd;
-use crate::stopping::RunTakeover;
-use crate::stopping::STOP_REPLY_TIMEOUT;
+use crate::run_stop::FirstRunEnd;
+use crate::run_stop::RunTakeover;
+use crate::run_stop::STOP_REPLY_TIMEOUT;
 
 /// The silence after which a stream is resumed, as a multiple of the route's event gap.
 const SILENCE_GAP_FACTOR: u64 = 4;
@@ -61,7 +61,7 @@
 /// but still finishes its runs. If the sidecar's report alone were enough, at-most-once
 /// streams would be cut off and lost.
 async fn wait_until_lost(upstream: &Upstream) {
-    upstream.lost().await;
+    upstream.wait_until_lost().await;
     sleep(LOST_GRACE).await;
 }
 
@@ -86,26 +86,26 @@
     /// Relays a stream as it arrives and resumes it where allowed.
     pub(crate) fn relay(
         self: Arc<Self>,
-        mut job: Job,
+        mut context: RequestContext,
         response: UpstreamResponse,
-    ) -> Response<OutBody> {
+    ) -> Response<ResponseBody> {
         let (pieces, body) = mpsc::channel(BODY_CHANNEL_CAPACITY);
         let head = self.caller_response(
             response.http.status(),
             response.http.headers(),
-            OutBody::Stream(body),
+            ResponseBody::Stream(body),
         );
         tokio::spawn(async move {
-            let ended = self.relay_stream(&mut job, response, &pieces).await;
+            let ended = self.relay_stream(&mut context, response, &pieces).await;
             if ended == BodyEnd::CallerLeft {
-                self.record_abandoned_run(&job);
+                self.record_abandoned_run(&context);
             }
-            self.record_outcome(&job, ended.outcome());
+            self.record_outcome(&context, ended.outcome());
             if ended == BodyEnd::Complete {
-                self.record_pace(&job);
+                self.record_pace(&context);
                 // Without this final piece the caller's connection is closed, which
                 // tells the caller that its stream is incomplete.
-                let _ = pieces.send(BodyPiece::End).await;
+                let _ = pieces.send(BodyChunk::End).await;
             }
         });
         head
@@ -113,15 +113,16 @@
 
     async fn relay_stream(
         self: &Arc<Self>,
-        job: &mut Job,
+        context: &mut RequestContext,
         response: UpstreamResponse,
-        pieces: &mpsc::Sender<BodyPiece>,
+        pieces: &mpsc::Sender<BodyChunk>,
     ) -> BodyEnd {
         let mut splitter = EventSplitter::new();
         let mut response = response;
         loop {
-            let relay_end =
-                self.relay_from_upstream(job, &mut response, &mut splitter, pieces).await;
+            let relay_end = self
+                .relay_from_upstream(context, &mut response, &mut splitter, pieces)
+                .await;
             let (reason, first_run_end) = match relay_end {
                 RelayEnd::Interrupted { reason, first_run_end } => {
                     (reason, first_run_end)
@@ -132,20 +133,20 @@
                 }
                 RelayEnd::Finished(ended) => return ended,
             };
-            let upstream = response.seat.upstream.clone();
+            let upstream = response.reservation.upstream.clone();
             upstream.record_failure(self.clock.now());
             if reason != SILENT_RUN_ENDED && reason != SILENT {
-                self.record_interrupted_run(job, &upstream);
+                self.record_interrupted_run(context, &upstream);
             }
-            job.runs += 1;
-            job.detail = reason.to_string();
+            context.runs += 1;
+            context.detail = reason.to_string();
             // Close the connection before another upstream resumes the stream: this ends
             // a repeatable run. It does not prove that the run ended, as a suspended
             // upstream does not notice the close.
             drop(response);
             splitter.drop_partial();
             let resumed = tokio::select! {
-                next = self.resume(job, &splitter, &upstream, first_run_end) => next,
+                next = self.resume(context, &splitter, &upstream, first_run_end) => next,
                 _ = pieces.closed() => return BodyEnd::CallerLeft,
             };
             match resumed {
@@ -158,24 +159,24 @@
     /// Resumes a stream on another upstream after the last complete event.
     async fn resume(
         self: &Arc<Self>,
-        job: &mut Job,
+        context: &mut RequestContext,
         splitter: &EventSplitter,
         upstream: &Arc<Upstream>,
         first_run_end: Option<FirstRunEnd>,
     ) -> Option<UpstreamResponse> {
-        if job.route.kind == CallKind::OnceStream {
+        if context.route.kind == CallKind::NonRepeatableStream {
             let last_event = splitter.last_id();
             return self
-                .resume_from_backup(job, last_event, upstream, first_run_end)
+                .resume_from_backup(context, last_event, upstream, first_run_end)
                 .await;
         }
-        if !self.may_run_after(job, job.runs)
-            || !self.may_repeat(&job.pool.name, Repeat::GoOn)
+        if !self.may_run_after(context, context.runs)
+            || !self.try_spend_retry(&context.pool.name, RetryKind::Resume)
         {
             return None;
         }
-        job.call.last_event = splitter.last_id().or(job.call.last_event);
-        let response = self.forward(job).await.ok()?;
+        context.call.last_event = splitter.last_id().or(context.call.last_event);
+        let response = self.forward(context).await.ok()?;
         if response.http.status() != StatusCode::OK {
             return None;
         }
@@ -185,24 +186,24 @@
 
     async fn relay_from_upstream(
         &self,
-        job: &mut Job,
+        context: &mut RequestContext,
         response: &mut UpstreamResponse,
         splitter: &mut EventSplitter,
-        pieces: &mpsc::Sender<BodyPiece>,
+        pieces: &mpsc::Sender<BodyChunk>,
     ) -> RelayEnd {
         let silence_ms =
-            job.route.gap_ms.map_or(DEFAULT_SILENCE_MS, |g| g * SILENCE_GAP_FACTOR);
-        let silence = Duration::from_millis(silence_ms.max(job.route.target_ms * 2));
-        let upstream = response.seat.upstream.clone();
+            context.route.gap_ms.map_or(DEFAULT_SILENCE_MS, |g| g * SILENCE_GAP_FACTOR);
+        let silence = Duration::from_millis(silence_ms.max(context.route.target_ms * 2));
+        let upstream = response.reservation.upstream.clone();
         let is_framed = is_framed(response.http.headers());
-        let run_takeover = self.run_takeover(job, &upstream);
+        let run_takeover = self.run_takeover(context, &upstream);
         let run = run_takeover.as_ref();
         let run_end = Fuse::terminated();
         tokio::pin!(run_end);
         let mut has_started = false;
         loop {
-            let may_resume = self.may_run_after(job, job.runs + 1);
-            let left = job.deadline.left(self.clock.now());
+            let may_resume = self.may_run_after(context, context.runs + 1);
+            let left = context.deadline.remaining(self.clock.now());
             let frame = tokio::select! {
                 frame = response.http.body_mut().frame() => frame,
                 _ = pieces.closed() => return RelayEnd::Finished(BodyEnd::CallerLeft),
@@ -236,14 +237,14 @@
             if !was_asked {
                 run_end.set(Fuse::terminated());
             }
-            if job.first_byte_ms.is_none() {
-                self.note_first_byte(job);
+            if context.first_byte_ms.is_none() {
+                self.note_first_byte(context);
             }
             if !std::mem::replace(&mut has_started, true) {
-                self.record_prompt_read(job, &mut response.seat);
+                self.record_prompt_read(context, &mut response.reservation);
             }
             let Some(events) = splitter.push(&bytes) else { continue };
-            if pieces.send(BodyPiece::Data(events)).await.is_err() {
+            if pieces.send(BodyChunk::Data(events)).await.is_err() {
                 return RelayEnd::Finished(BodyEnd::CallerLeft);
             }
         }
@@ -260,7 +261,7 @@
         silence: Duration,
     ) -> &'r RunTakeover {
         let Some(run) = run else { return std::future::pending().await };
-        let is_followed = || run.upstream.is_followed(self.clock.now());
+        let is_followed = || run.upstream.has_current_feed(self.clock.now());
         loop {
             tokio::select! {
                 _ = sleep(silence) => match is_followed() {
@@ -284,16 +285,20 @@
     /// Returns the connection of a complete response to the pool, unless its upstream has
     /// restarted: what is recorded of the new incarnation must not come from the old one.
     pub(crate) fn keep_connection(&self, response: UpstreamResponse) {
-        let UpstreamResponse { http, connection, seat } = response;
-        if !seat.upstream.has_ended() {
+        let UpstreamResponse { http, connection, reservation } = response;
+        if !reservation.upstream.has_ended() {
             self.connections.put_idle(connection, http.headers());
         }
     }
 
-    fn record_pace(&self, job: &Job) {
-        let Some(first_byte_ms) = job.first_byte_ms else { return };
-        let took_ms = self.clock.now().ms_since(job.arrived_at) - first_byte_ms;
-        self.pace.note_answer(&job.pool.name, took_ms, job.call.output_tokens);
+    fn record_pace(&self, context: &RequestContext) {
+        let Some(first_byte_ms) = context.first_byte_ms else { return };
+        let took_ms = self.clock.now().ms_since(context.arrived_at) - first_byte_ms;
+        self.speed.record_response(
+            &context.pool.name,
+            took_ms,
+            context.call.output_tokens,
+        );
     }
 }
 
@@ -341,6 +346,6 @@
 }
 
 /// Reports whether a response is an event stream.
-pub(crate) fn is_stream(job: &Job, response: &Response<Incoming>) -> bool {
-    job.route.kind.is_stream() && response.status().is_success()
+pub(crate) fn is_stream(context: &RequestContext, response: &Response<Incoming>) -> bool {
+    context.route.kind.is_stream() && response.status().is_success()
 }
--- a/crates/bilberry-gateway/src/job.rs
+++ b/crates/bilberry-gateway/src/request_context.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use bilberry_core::Demand;
+use bilberry_core::PlacementRequest;
 use bilberry_core::RequestKey;
 use bilberry_core::UnixMs;
 use bytes::Bytes;
@@ -12,10 +12,10 @@
 use hyper::header::HOST;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::Call;
 use crate::Customer;
 use crate::Pool;
 use crate::PromptKeys;
+use crate::RequestMetadata;
 use crate::Route;
 use crate::Upstream;
 
@@ -24,9 +24,9 @@
 
 /// The state of a request while the entry handles it.
 #[derive(Debug)]
-pub struct Job {
+pub struct RequestContext {
     /// The decoded headers of the caller.
-    pub call: Call,
+    pub call: RequestMetadata,
     /// The matching route.
     pub route: Arc<Route>,
     /// The customer, if the route requires an API key.
@@ -71,10 +71,10 @@
     pub prompt_keys: Vec<(u64, Arc<PromptKeys>)>,
     /// The shared parts that the upstream computes for it, once announced to other
     /// entries.
-    pub reads: Option<Reads>,
+    pub prefill: Option<PrefillPlan>,
     /// Until when it waits for shared parts that other requests compute, once it has
     /// begun to.
-    pub waits_for_parts_until: Option<UnixMs>,
+    pub prefix_wait_until: Option<UnixMs>,
     /// How long it waited for capacity and for parts that other requests compute.
     pub waited_ms: u64,
     /// The share of this time spent waiting for parts that other requests compute.
@@ -89,7 +89,7 @@
 
 /// The shared prompt parts that an upstream computes for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Reads {
+pub struct PrefillPlan {
     /// The keys of the parts.
     pub parts: Vec<u64>,
     /// The number of tokens that the upstream has to prefill before the response starts.
@@ -98,7 +98,7 @@
     pub since: UnixMs,
 }
 
-impl Job {
+impl RequestContext {
     /// Reports whether this incarnation of an upstream was already tried.
     pub fn has_tried(&self, upstream: &Arc<Upstream>) -> bool {
         self.tried.iter().any(|tried| Arc::ptr_eq(tried, upstream))
@@ -127,7 +127,7 @@
         let customer = self.customer.as_ref().map_or("", |customer| &customer.name);
         let host = self.headers.get(HOST).map_or(&[][..], |host| host.as_bytes());
         let path = self.uri.path_and_query().map_or("", |path| path.as_str());
-        RequestKey::of(&[
+        RequestKey::from_parts(&[
             customer.as_bytes(),
             self.method.as_str().as_bytes(),
             host,
@@ -145,9 +145,9 @@
     }
 
     /// Returns the resources that the request needs at an upstream.
-    pub fn demand(&self, can_fetch: bool, token_us: u64) -> Demand {
+    pub fn demand(&self, can_fetch: bool, token_us: u64) -> PlacementRequest {
         let shared_tokens = self.call.shared_tokens();
-        Demand {
+        PlacementRequest {
             affinity: self.affinity(),
             shared_tokens,
             own_tokens: self.call.prompt_tokens.saturating_sub(shared_tokens),
@@ -184,7 +184,7 @@
     }
 
     /// Returns the scheduling priority that is sent to upstreams, 0 being the first.
-    pub fn urgency(&self) -> u8 {
+    pub fn priority(&self) -> u8 {
         let own = self.customer.as_ref().and_then(|customer| customer.priority);
         own.unwrap_or(self.route.priority).min(9)
     }
--- a/crates/bilberry-gateway/src/stopping.rs
+++ b/crates/bilberry-gateway/src/run_stop.rs
@@ -12,10 +12,10 @@
 use std::time::Duration;
 
 use bilberry_core::Clock;
+use bilberry_core::ConnectAttempts;
+use bilberry_core::ConnectOutcome;
 use bilberry_core::Name;
-use bilberry_core::Reach;
-use bilberry_core::Reaching;
-use bilberry_core::RunEnd;
+use bilberry_core::RunEndReason;
 use http_body_util::BodyExt;
 use http_body_util::Limited;
 use tokio::time::sleep;
@@ -24,7 +24,7 @@
 use crate::Connection;
 use crate::Dialect;
 use crate::Gateway;
-use crate::MemoryCopy;
+use crate::KvCacheCopy;
 use crate::StopCall;
 use crate::StopReply;
 use crate::Upstream;
@@ -53,9 +53,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum FirstRunEnd {
     /// It has ended without a transfer of its KV cache.
-    Ended(RunEnd),
+    Ended(RunEndReason),
     /// It was stopped, and the successor holds this copy of its KV cache.
-    Moved(MemoryCopy),
+    Moved(KvCacheCopy),
 }
 
 /// An at-most-once run that another engine can take over.
@@ -111,10 +111,10 @@
     /// Waits, without a time limit, until a run has ended at the engine that started it.
     pub(crate) async fn ensure_run_ended(&self, run: &RunTakeover) -> FirstRunEnd {
         let began_at = self.clock.now();
-        let mut reaching = Reaching::default();
+        let mut attempts = ConnectAttempts::default();
         let mut backoff = Backoff::new();
         loop {
-            let ended = self.try_end_run(run, &mut reaching, &backoff).await;
+            let ended = self.try_end_run(run, &mut attempts, &backoff).await;
             if let Some(first_run_end) = ended {
                 let took_ms = self.clock.now().ms_since(began_at);
                 log_run_end(run, &first_run_end, took_ms);
@@ -131,22 +131,22 @@
     async fn try_end_run(
         &self,
         run: &RunTakeover,
-        reaching: &mut Reaching,
+        attempts: &mut ConnectAttempts,
         backoff: &Backoff,
     ) -> Option<FirstRunEnd> {
         if run.upstream.has_ended() {
-            return Some(FirstRunEnd::Ended(RunEnd::StartedAnew));
+            return Some(FirstRunEnd::Ended(RunEndReason::Restarted));
         }
         let connected = connect(run.upstream.address).await;
         let reach = match &connected {
-            Ok(_) => Reach::Taken,
-            Err(ConnectError::Refused) => Reach::Refused,
-            Err(ConnectError::Unreachable(_)) => Reach::Silent,
+            Ok(_) => ConnectOutcome::Accepted,
+            Err(ConnectError::Refused) => ConnectOutcome::Refused,
+            Err(ConnectError::Unreachable(_)) => ConnectOutcome::TimedOut,
             Err(ConnectError::Failed(_)) => return None,
         };
         let sidecar = run.upstream.sidecar_status(self.clock.now());
         let stream_is_open = run.stream_is_open.load(Ordering::Relaxed);
-        match (reaching.note(reach, sidecar, stream_is_open), connected) {
+        match (attempts.record(reach, sidecar, stream_is_open), connected) {
             (Some(end), _) => Some(FirstRunEnd::Ended(end)),
             (None, Ok(connection)) if run.can_be_stopped => {
                 let stopping = self.stop_run(run, connection);
@@ -164,7 +164,7 @@
     ) -> Option<FirstRunEnd> {
         let upstream = run.upstream.address;
         let attempt = run.attempt.clone();
-        let stop = StopCall { upstream, attempt, next: run.successor.address };
+        let stop = StopCall { upstream, attempt, successor: run.successor.address };
         run.stop_requested.store(true, Ordering::Relaxed);
         let response = connection.send(self.dialect.stop_call(&stop)).await.ok()?;
         let status = response.status();
@@ -173,12 +173,12 @@
         let body = Limited::new(response.into_body(), MAX_STOP_REPLY_BYTES).collect();
         let body = body.await.ok()?.to_bytes();
         match self.dialect.stop_reply(status, &body) {
-            StopReply::Moved(name) => {
-                Some(FirstRunEnd::Moved(MemoryCopy { named_by: upstream, name }))
+            StopReply::Transferred(name) => {
+                Some(FirstRunEnd::Moved(KvCacheCopy { named_by: upstream, name }))
             }
-            StopReply::Stopped => Some(FirstRunEnd::Ended(RunEnd::Stopped)),
-            StopReply::NoSuchRun => Some(FirstRunEnd::Ended(RunEnd::Unknown)),
-            StopReply::Unclear => None,
+            StopReply::Stopped => Some(FirstRunEnd::Ended(RunEndReason::Stopped)),
+            StopReply::NoSuchRun => Some(FirstRunEnd::Ended(RunEndReason::NoSuchRun)),
+            StopReply::Unknown => None,
         }
     }
 }
@@ -186,7 +186,7 @@
 fn log_run_end(run: &RunTakeover, first_run_end: &FirstRunEnd, took_ms: u64) {
     let end = match first_run_end {
         FirstRunEnd::Ended(end) => *end,
-        FirstRunEnd::Moved(_) => RunEnd::Stopped,
+        FirstRunEnd::Moved(_) => RunEndReason::Stopped,
     };
     log::info!(
         target: "stream",
--- a/crates/bilberry-gateway/src/serve.rs
+++ b/crates/bilberry-gateway/src/serve.rs
@@ -4,13 +4,13 @@
 
 use bilberry_core::Clock;
 use bilberry_core::Name;
-use bilberry_core::Repeat;
 use bilberry_core::RequestKey;
+use bilberry_core::RetryKind;
 use bilberry_core::UnixMs;
-use bilberry_node::ClientTimes;
+use bilberry_node::ClientTimeouts;
 use bilberry_node::HttpHandler;
-use bilberry_node::OutBody;
 use bilberry_node::ReadBodyError;
+use bilberry_node::ResponseBody;
 use bilberry_node::read_body;
 use bytes::Bytes;
 use hyper::Request;
@@ -22,14 +22,14 @@
 use hyper::http::request::Parts;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::Call;
 use crate::Dialect;
 use crate::Gateway;
-use crate::Job;
 use crate::Policy;
 use crate::Refusal;
+use crate::RequestContext;
+use crate::RequestMetadata;
 use crate::forward::UpstreamResponse;
-use crate::plain_answer::PlainResponse;
+use crate::plain_response::PlainResponse;
 use crate::relay::is_stream;
 
 /// The timeout for receiving a request body.
@@ -49,11 +49,14 @@
 const RETRY_AFTER_RANGE_MS: (u64, u64) = (100, 1_000);
 
 impl<D: Dialect, C: Clock> HttpHandler for Gateway<D, C> {
-    fn client_times(&self) -> Option<ClientTimes> {
+    fn client_times(&self) -> Option<ClientTimeouts> {
         self.policy().map(|policy| policy.limits.times)
     }
 
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
+    async fn handle(
+        self: Arc<Self>,
+        request: Request<Incoming>,
+    ) -> Response<ResponseBody> {
         let gateway = self.clone();
         let mut response = gateway.serve(request).await;
         if self.is_stopping() {
@@ -64,36 +67,43 @@
 }
 
 impl<D: Dialect, C: Clock> Gateway<D, C> {
-    async fn serve(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
+    async fn serve(
+        self: Arc<Self>,
+        request: Request<Incoming>,
+    ) -> Response<ResponseBody> {
         let arrived_at = self.clock.now();
         let (head, body) = request.into_parts();
         let checked = self.decode_and_route(head, arrived_at);
-        let (policy, mut job) = match checked {
+        let (policy, mut context) = match checked {
             Ok(checked) => checked,
             Err((attempt, refusal)) => return self.refuse_early(&attempt, &refusal),
         };
-        job.body = match self.read_request_body(body, &policy, &job).await {
+        context.body = match self.read_request_body(body, &policy, &context).await {
             Ok(body) => body,
-            Err(refusal) => return self.refuse_early(&job.call.attempt, &refusal),
+            Err(refusal) => return self.refuse_early(&context.call.attempt, &refusal),
         };
-        job.key = job.compute_key();
-        if let Err(refusal) = self.check_quarantine(&job) {
-            return self.refuse(&job, &refusal);
+        context.key = context.compute_key();
+        if let Err(refusal) = self.check_quarantine(&context) {
+            return self.refuse(&context, &refusal);
         }
-        self.count_request(&job.pool.name);
-        let mut caller = CallerGuard { gateway: self.clone(), job: Some(job) };
+        self.count_request(&context.pool.name);
+        let mut caller = CallerGuard { gateway: self.clone(), context: Some(context) };
         let outcome = caller.serve().await;
-        let job = caller.job.take();
-        match (outcome, job) {
-            (ServeOutcome::Complete(response), Some(job)) => {
-                self.record_outcome(&job, "served");
+        let context = caller.context.take();
+        match (outcome, context) {
+            (ServeOutcome::Complete(response), Some(context)) => {
+                self.record_outcome(&context, "served");
                 response
             }
-            (ServeOutcome::Stream(response), Some(job)) => self.relay(job, response),
-            (ServeOutcome::Partial(response, buffered), Some(job)) => {
-                self.stream_partial(job, response, buffered)
+            (ServeOutcome::Stream(response), Some(context)) => {
+                self.relay(context, response)
+            }
+            (ServeOutcome::Partial(response, buffered), Some(context)) => {
+                self.stream_partial(context, response, buffered)
+            }
+            (ServeOutcome::Refused(refusal), Some(context)) => {
+                self.refuse(&context, &refusal)
             }
-            (ServeOutcome::Refused(refusal), Some(job)) => self.refuse(&job, &refusal),
             (_, None) => Refusal::NotReady.to_response(RETRY_AFTER_RANGE_MS.0),
         }
     }
@@ -103,7 +113,7 @@
         &self,
         head: Parts,
         arrived_at: UnixMs,
-    ) -> Result<(Arc<Policy>, Job), (Name, Refusal)> {
+    ) -> Result<(Arc<Policy>, RequestContext), (Name, Refusal)> {
         let call = match self.dialect.decode(&head.headers) {
             Ok(call) => call,
             Err(bad) => return Err((Name::new(), Refusal::BadRequest(bad))),
@@ -115,9 +125,9 @@
     fn create_job(
         &self,
         head: Parts,
-        call: Call,
+        call: RequestMetadata,
         arrived_at: UnixMs,
-    ) -> Result<(Arc<Policy>, Job), Refusal> {
+    ) -> Result<(Arc<Policy>, RequestContext), Refusal> {
         let policy = self.policy().ok_or(Refusal::NotReady)?;
         let max_bytes = policy.limits.header_bytes;
         if head_bytes(&head) > max_bytes {
@@ -128,7 +138,7 @@
         let route = route.cloned().ok_or(Refusal::NoRoute)?;
         let customer = match &policy.customers {
             Some(customers) if !route.public => {
-                if !self.keys_are_good() {
+                if !self.are_keys_confirmed() {
                     return Err(Refusal::KeysUnconfirmed);
                 }
                 let key = call.key.as_ref().ok_or(Refusal::UnknownKey)?;
@@ -139,9 +149,9 @@
         let target = route.target(xxh3_64(call.attempt.as_bytes()));
         let pool = target.and_then(|pool| policy.pools.get(pool)).cloned();
         let pool = pool.ok_or(Refusal::NoCapacity)?;
-        let patience_ms = call.patience_ms.unwrap_or(route.timeout_ms);
+        let patience_ms = call.timeout_ms.unwrap_or(route.timeout_ms);
         let deadline = arrived_at.plus_ms(patience_ms.min(route.timeout_ms));
-        let job = Job {
+        let context = RequestContext {
             call,
             route,
             customer,
@@ -164,37 +174,37 @@
             weights: None,
             weights_outdated_ms: None,
             prompt_keys: Vec::new(),
-            reads: None,
-            waits_for_parts_until: None,
+            prefill: None,
+            prefix_wait_until: None,
             waited_ms: 0,
             waited_for_parts_ms: 0,
             supplied_tokens: 0,
             first_byte_ms: None,
             detail: String::new(),
         };
-        Ok((policy, job))
+        Ok((policy, context))
     }
 
     async fn read_request_body(
         &self,
         body: Incoming,
         policy: &Policy,
-        job: &Job,
+        context: &RequestContext,
     ) -> Result<Bytes, Refusal> {
         let max_bytes = policy.limits.body_bytes;
-        let left_ms = job.deadline.ms_since(self.clock.now());
+        let left_ms = context.deadline.ms_since(self.clock.now());
         read_body(body, max_bytes, left_ms.min(BODY_TIMEOUT_MS)).await.map_err(|error| {
             match error {
                 ReadBodyError::TooLarge(max_bytes) => Refusal::BodyTooLarge(max_bytes),
-                ReadBodyError::Late(_) => Refusal::DeadlineBeforeSend,
-                ReadBodyError::Broken => Refusal::BodyIncomplete,
+                ReadBodyError::Timeout(_) => Refusal::DeadlineBeforeSend,
+                ReadBodyError::Incomplete => Refusal::BodyIncomplete,
             }
         })
     }
 
-    fn refuse_early(&self, attempt: &str, refusal: &Refusal) -> Response<OutBody> {
+    fn refuse_early(&self, attempt: &str, refusal: &Refusal) -> Response<ResponseBody> {
         self.metrics.count_request(refusal.code());
-        if self.lines.spend(self.clock.now(), false) {
+        if self.log_budget.spend(self.clock.now(), false) {
             log::info!(
                 target: "request",
                 request = attempt,
@@ -207,12 +217,16 @@
         refusal.to_response(retry_after_ms(RETRY_AFTER_RANGE_MS.1))
     }
 
-    fn refuse(&self, job: &Job, refusal: &Refusal) -> Response<OutBody> {
-        self.record_outcome(job, refusal.code());
+    fn refuse(
+        &self,
+        context: &RequestContext,
+        refusal: &Refusal,
+    ) -> Response<ResponseBody> {
+        self.record_outcome(context, refusal.code());
         let now = self.clock.now();
-        let left_ms = job.deadline.ms_since(now);
-        let paused_until = self.all_paused_until(&job.pool.name, now);
-        let outage_range_ms = self.outage_retry_range_ms(&job.pool.name, left_ms);
+        let left_ms = context.deadline.ms_since(now);
+        let paused_until = self.all_paused_until(&context.pool.name, now);
+        let outage_range_ms = self.outage_retry_range_ms(&context.pool.name, left_ms);
         let pause_ms = paused_until.map(|until| until.ms_since(now));
         let range_ms = outage_range_ms.or(pause_ms.map(retry_range_after_pause_ms));
         refusal.to_response(match (refusal, range_ms) {
@@ -258,7 +272,7 @@
 
 /// The outcome of serving a request.
 enum ServeOutcome {
-    Complete(Response<OutBody>),
+    Complete(Response<ResponseBody>),
     Stream(UpstreamResponse),
     /// A plain response that is too large to be buffered, and the part that was read.
     Partial(UpstreamResponse, Bytes),
@@ -271,23 +285,23 @@
 /// such a request would otherwise not be logged.
 struct CallerGuard<D: Dialect, C: Clock> {
     gateway: Arc<Gateway<D, C>>,
-    job: Option<Job>,
+    context: Option<RequestContext>,
 }
 
 impl<D: Dialect, C: Clock> CallerGuard<D, C> {
     async fn serve(&mut self) -> ServeOutcome {
-        let Some(job) = &mut self.job else {
+        let Some(context) = &mut self.context else {
             return ServeOutcome::Refused(Refusal::NotReady);
         };
         loop {
-            let response = match self.gateway.forward(job).await {
+            let response = match self.gateway.forward(context).await {
                 Ok(response) => response,
                 Err(refusal) => return ServeOutcome::Refused(refusal),
             };
-            if is_stream(job, &response.http) {
+            if is_stream(context, &response.http) {
                 return ServeOutcome::Stream(response);
             }
-            match self.gateway.buffer_response(job, response).await {
+            match self.gateway.buffer_response(context, response).await {
                 Ok(PlainResponse::Complete(response)) => {
                     return ServeOutcome::Complete(response);
                 }
@@ -295,9 +309,11 @@
                     return ServeOutcome::Partial(response, buffered);
                 }
                 Err(Refusal::OutcomeUnknown) => {
-                    job.runs += 1;
-                    let again = self.gateway.may_run_after(job, job.runs)
-                        && self.gateway.may_repeat(&job.pool.name, Repeat::Anew);
+                    context.runs += 1;
+                    let again = self.gateway.may_run_after(context, context.runs)
+                        && self
+                            .gateway
+                            .try_spend_retry(&context.pool.name, RetryKind::Resend);
                     if !again {
                         return ServeOutcome::Refused(Refusal::OutcomeUnknown);
                     }
@@ -310,9 +326,9 @@
 
 impl<D: Dialect, C: Clock> Drop for CallerGuard<D, C> {
     fn drop(&mut self) {
-        if let Some(job) = &self.job {
-            self.gateway.record_abandoned_run(job);
-            self.gateway.record_outcome(job, "caller_left");
+        if let Some(context) = &self.context {
+            self.gateway.record_abandoned_run(context);
+            self.gateway.record_outcome(context, "caller_left");
         }
     }
 }
--- a/crates/bilberry-gateway/src/pace.rs
+++ b/crates/bilberry-gateway/src/speed.rs
@@ -30,18 +30,18 @@
 
 /// The estimated prefill and decode time per token of each service's engines.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct SpeedEstimates {
     token_us: Mutex<HashMap<Name, u64>>,
     read_us: Mutex<HashMap<Name, u64>>,
 }
 
-impl Pace {
+impl SpeedEstimates {
     /// Records a complete response: the time from its first to its last event, and the
     /// maximum number of tokens that it was allowed.
     ///
     /// The time is divided by the allowed rather than the generated tokens, as only the
     /// former are known when a request is placed.
-    pub fn note_answer(&self, pool: &Name, took_ms: u64, max_tokens: u64) {
+    pub fn record_response(&self, pool: &Name, took_ms: u64, max_tokens: u64) {
         if max_tokens == 0 {
             return;
         }
@@ -52,7 +52,7 @@
     }
 
     /// Records that an engine took `took_ms` for the prefill of this many tokens.
-    pub fn note_read(&self, pool: &Name, tokens: u64, took_ms: u64) {
+    pub fn record_prefill(&self, pool: &Name, tokens: u64, took_ms: u64) {
         if tokens < MIN_READ_TOKENS {
             return;
         }
@@ -63,7 +63,7 @@
     }
 
     /// Returns the estimated prefill time of this many tokens, in milliseconds.
-    pub fn read_ms(&self, pool: &str, tokens: u64) -> u64 {
+    pub fn prefill_ms(&self, pool: &str, tokens: u64) -> u64 {
         let read_us = self.read_us.lock().unwrap().get(pool).copied();
         tokens * read_us.unwrap_or(DEFAULT_READ_US) / 1_000
     }
--- a/crates/bilberry-gateway/src/upstream.rs
+++ b/crates/bilberry-gateway/src/upstream.rs
@@ -1,7 +1,7 @@
 //! The current knowledge of an entry about one upstream.
 
 mod live;
-pub(crate) mod seat;
+pub(crate) mod reservation;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,11 +10,11 @@
 
 use bilberry_core::Incarnation;
 use bilberry_core::Name;
-use bilberry_core::Offer;
+use bilberry_core::PlacementCandidate;
 use bilberry_core::SidecarStatus;
 use bilberry_core::StorePosition;
 use bilberry_core::UnixMs;
-use bilberry_core::Weights;
+use bilberry_core::WeightsStatus;
 use bilberry_wire::Body;
 use bilberry_wire::CacheChange;
 use bilberry_wire::UpstreamState;
@@ -23,8 +23,8 @@
 use tokio::sync::watch;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::EngineTerms;
-use crate::Listed;
+use crate::EngineConfig;
+use crate::Listing;
 use crate::ServerStatus;
 use crate::upstream::live::Live;
 
@@ -91,7 +91,7 @@
     /// Its address.
     pub address: SocketAddr,
     /// Its data centre.
-    pub place: Name,
+    pub data_centre: Name,
     /// A hash of its address.
     pub seed: u64,
     /// When it was first listed, as a position that grows with each new entry.
@@ -105,13 +105,13 @@
 
 impl Upstream {
     /// Creates an upstream of which only its listing is known.
-    pub fn new(listed: &Listed) -> Self {
+    pub fn new(listed: &Listing) -> Self {
         let live = Live::new(listed);
         Self {
             id: listed.id.clone(),
             pool: listed.pool.clone(),
             address: listed.address,
-            place: listed.place.clone(),
+            data_centre: listed.data_centre.clone(),
             // Hashes the address instead of the id, so that a restarted server keeps its
             // share of the prompts and the other servers keep theirs.
             seed: xxh3_64(listed.address.to_string().as_bytes()),
@@ -131,7 +131,7 @@
     }
 
     /// Applies a new listing of this incarnation.
-    pub fn update(&self, listed: &Listed) {
+    pub fn update(&self, listed: &Listing) {
         let mut live = self.live.lock().unwrap();
         live.slots = listed.slots;
         let starts_leaving = listed.leaving && !live.leaving;
@@ -206,11 +206,11 @@
             let models = models.map(|(name, _)| (name.clone(), reported_version(name)));
             (live.slots, models.collect())
         };
-        let next = Self::new(&Listed {
+        let next = Self::new(&Listing {
             id: self.id.clone(),
             pool: self.pool.clone(),
             address: self.address,
-            place: self.place.clone(),
+            data_centre: self.data_centre.clone(),
             slots,
             leaving: false,
             models,
@@ -222,7 +222,7 @@
     }
 
     /// Applies a state of this incarnation that the sidecar reports.
-    pub fn feed(&self, state: UpstreamState, now: UnixMs) {
+    pub fn apply_state(&self, state: UpstreamState, now: UnixMs) {
         let mut live = self.live.lock().unwrap();
         if live.ended {
             return;
@@ -242,7 +242,7 @@
         // the state includes the start time, it identifies the server. The cache epoch
         // is queried separately and may lag behind the start time.
         match state.cache_epoch {
-            _ if state.born_ms.is_some() => live.incarnation = state.incarnation(),
+            _ if state.started_at_ms.is_some() => live.incarnation = state.incarnation(),
             0 => {}
             epoch if live.cache_epoch == 0 => live.cache_epoch = epoch,
             epoch => live.leaving |= epoch != live.cache_epoch,
@@ -264,7 +264,7 @@
     }
 
     /// Applies a change of its cache.
-    pub fn cache_change(&self, change: &CacheChange, now: UnixMs) {
+    pub fn apply_cache_change(&self, change: &CacheChange, now: UnixMs) {
         let mut parts = self.parts.lock().unwrap();
         if change.reset {
             parts.clear();
@@ -286,13 +286,13 @@
         self.parts.lock().unwrap().insert(key, since);
     }
 
-    /// Records that it is expected to hold a part from `done_by` on, unless it holds
+    /// Records that it is expected to hold a part from `expected_end` on, unless it holds
     /// the part already.
-    pub fn expect_reading(&self, key: u64, done_by: UnixMs, now: UnixMs) {
+    pub fn expect_reading(&self, key: u64, expected_end: UnixMs, now: UnixMs) {
         let mut parts = self.parts.lock().unwrap();
-        let since = parts.entry(key).or_insert(done_by);
+        let since = parts.entry(key).or_insert(expected_end);
         if !is_held(*since, now) {
-            *since = done_by;
+            *since = expected_end;
         }
         prune_expired(&mut parts, now);
     }
@@ -340,7 +340,7 @@
     pub fn record_status(&self, status: &ServerStatus, now: UnixMs) {
         let mut live = self.live.lock().unwrap();
         live.load = status.load.or(live.load);
-        if status.is_leaving && !live.announced_leaving {
+        if status.is_shutting_down && !live.announced_leaving {
             live.leaving = true;
             live.announced_leaving = true;
             self.status_changed.notify_one();
@@ -354,7 +354,7 @@
     }
 
     /// Records that the upstream answered.
-    pub fn note_answer(&self) {
+    pub fn record_answer(&self) {
         let mut live = self.live.lock().unwrap();
         live.confirmed = true;
         live.unresponsive = false;
@@ -423,8 +423,8 @@
         &self,
         now: UnixMs,
         own_place: &str,
-        engine: Option<EngineTerms>,
-    ) -> Offer {
+        engine: Option<EngineConfig>,
+    ) -> PlacementCandidate {
         let live = self.live.lock().unwrap();
         let feed = live.fresh_feed(now);
         let (running, queued) = match (feed, live.load) {
@@ -448,17 +448,17 @@
             .or(engine.map(|engine| engine.memory_tokens));
         let fed_tokens = feed.map_or(0, |state| state.used_tokens);
         let used_tokens = (fed_tokens + unseen_tokens).max(live.reserved_tokens);
-        Offer {
+        PlacementCandidate {
             seed: self.seed,
             usable: live.is_eligible(now),
-            same_place: self.place == own_place,
+            same_data_centre: self.data_centre == own_place,
             free_slots: capacity.saturating_sub(in_progress),
             free_tokens: total_tokens.map_or(u64::MAX, |t| t.saturating_sub(used_tokens)),
             pending_tokens: live.pending_tokens,
             running: in_progress,
             queued,
-            weights: Weights::Fine,
-            held_tokens: 0,
+            weights: WeightsStatus::Acceptable,
+            cached_tokens: 0,
             loads_in_ms: live.loads_at.map(|at| at.ms_since(now)),
         }
     }
@@ -478,7 +478,7 @@
     }
 
     /// Reports whether it is alive according to its sidecar and the last send.
-    pub fn lives(&self, now: UnixMs) -> bool {
+    pub fn is_alive(&self, now: UnixMs) -> bool {
         let live = self.live.lock().unwrap();
         !live.is_down(now) && live.failures == 0
     }
@@ -504,7 +504,7 @@
     }
 
     /// Reports whether a current state from its sidecar is known.
-    pub fn is_followed(&self, now: UnixMs) -> bool {
+    pub fn has_current_feed(&self, now: UnixMs) -> bool {
         self.live.lock().unwrap().fresh_feed(now).is_some()
     }
 
@@ -520,7 +520,7 @@
     }
 
     /// Waits until its sidecar reports it as down or a later incarnation replaces it.
-    pub async fn lost(&self) {
+    pub async fn wait_until_lost(&self) {
         let mut lost = self.lost.subscribe();
         if lost.wait_for(|&lost| lost).await.is_err() {
             std::future::pending::<()>().await;
--- a/crates/bilberry-gateway/src/upstreams.rs
+++ b/crates/bilberry-gateway/src/upstreams.rs
@@ -9,14 +9,14 @@
 
 use arc_swap::ArcSwap;
 use bilberry_core::Incarnation;
+use bilberry_core::IncarnationOrder;
 use bilberry_core::Name;
-use bilberry_core::Told;
 use bilberry_core::UnixMs;
 use bilberry_wire::CacheChange;
 use bilberry_wire::UpstreamState;
 use tokio::sync::Notify;
 
-use crate::Listed;
+use crate::Listing;
 use crate::Upstream;
 
 /// The maximum number of unlisted upstreams whose announced shutdown is remembered.
@@ -47,7 +47,7 @@
 #[derive(Debug, Default)]
 struct DeferredListings {
     named_pools: HashSet<Name>,
-    by_id: HashMap<Name, Listed>,
+    by_id: HashMap<Name, Listing>,
 }
 
 impl Upstreams {
@@ -57,7 +57,7 @@
     /// a server of an unknown service. If it had the address of a server in use, it
     /// would count as the later one at that address, and the server would get no more
     /// work.
-    pub fn put(&self, listed: &Listed) -> Option<Arc<Upstream>> {
+    pub fn apply_listing(&self, listed: &Listing) -> Option<Arc<Upstream>> {
         // Locked throughout, so that a configuration that names the service concurrently
         // finds the listing either deferred or in use.
         let mut deferred = self.deferred.lock().unwrap();
@@ -70,7 +70,7 @@
 
     /// Sets the services that the configuration in force names, and applies the deferred
     /// listings of these services.
-    pub fn name_pools(&self, pools: impl IntoIterator<Item = Name>) {
+    pub fn set_configured_pools(&self, pools: impl IntoIterator<Item = Name>) {
         let mut deferred = self.deferred.lock().unwrap();
         for listed in deferred.release_named(pools) {
             // Deferred until now, so no incarnation of it was in use.
@@ -81,7 +81,7 @@
     /// Applies a listing whose service is named.
     ///
     /// A listing of an earlier incarnation is ignored: it was read or written late.
-    fn put_named(&self, listed: &Listed) -> Option<Arc<Upstream>> {
+    fn put_named(&self, listed: &Listing) -> Option<Arc<Upstream>> {
         let mut by_id = self.by_id.lock().unwrap();
         let known = by_id.get(&listed.id).cloned();
         let ended = match known {
@@ -106,7 +106,7 @@
     }
 
     /// Applies a state from a sidecar; returns the incarnation that it ends, if any.
-    pub fn feed(
+    pub fn apply_state(
         &self,
         id: &str,
         state: UpstreamState,
@@ -115,14 +115,14 @@
         let mut by_id = self.by_id.lock().unwrap();
         let known = by_id.get(id).cloned()?;
         let ended = match Incarnation::compare(known.incarnation(), state.incarnation()) {
-            Told::Older => None,
-            Told::Same => {
-                known.feed(state, now);
+            IncarnationOrder::Older => None,
+            IncarnationOrder::Same => {
+                known.apply_state(state, now);
                 None
             }
-            Told::Newer => {
+            IncarnationOrder::Newer => {
                 let next = self.insert(&mut by_id, known.next_incarnation(&state));
-                next.feed(state, now);
+                next.apply_state(state, now);
                 known.end();
                 Some(known)
             }
@@ -135,13 +135,18 @@
     /// Applies a change of an upstream's cache; returns whether it was applied.
     ///
     /// A change of any other than the current incarnation is ignored.
-    pub fn cache_change(&self, id: &str, change: &CacheChange, now: UnixMs) -> bool {
+    pub fn apply_cache_change(
+        &self,
+        id: &str,
+        change: &CacheChange,
+        now: UnixMs,
+    ) -> bool {
         let Some(known) = self.get(id) else { return false };
         let order = Incarnation::compare(known.incarnation(), change.incarnation());
-        if order == Told::Same {
-            known.cache_change(change, now);
+        if order == IncarnationOrder::Same {
+            known.apply_cache_change(change, now);
         }
-        order == Told::Same
+        order == IncarnationOrder::Same
     }
 
     /// Returns the current incarnation of an upstream.
@@ -183,14 +188,14 @@
             return;
         };
         let order = Incarnation::compare(before.incarnation(), upstream.incarnation());
-        if order == Told::Same && before.address == upstream.address {
+        if order == IncarnationOrder::Same && before.address == upstream.address {
             log::info!(target: "upstream", upstream = upstream.id.as_str(); "ignoring a listing of a server that announced its shutdown");
             upstream.announce_leaving();
         }
     }
 
     /// Records that the complete list has been read.
-    pub fn note_listed(&self) {
+    pub fn mark_list_complete(&self) {
         self.listed.store(true, Ordering::Relaxed);
         self.changed.notify_waiters();
     }
@@ -198,7 +203,7 @@
     /// Reports whether the complete list has been read at least once.
     ///
     /// Before that, a service without known upstreams may still have some.
-    pub fn is_listed(&self) -> bool {
+    pub fn is_list_complete(&self) -> bool {
         self.listed.load(Ordering::Relaxed)
     }
 
@@ -268,7 +273,7 @@
 
 impl DeferredListings {
     /// Defers a listing if its service is not named; returns whether it did.
-    fn defer(&mut self, listed: &Listed) -> bool {
+    fn defer(&mut self, listed: &Listing) -> bool {
         self.by_id.remove(&listed.id);
         let is_named = self.named_pools.contains(&listed.pool);
         if !is_named {
@@ -279,7 +284,7 @@
 
     /// Sets the named services; removes and returns the listings that are no longer
     /// deferred.
-    fn release_named(&mut self, pools: impl IntoIterator<Item = Name>) -> Vec<Listed> {
+    fn release_named(&mut self, pools: impl IntoIterator<Item = Name>) -> Vec<Listing> {
         self.named_pools = pools.into_iter().collect();
         let named_pools = &self.named_pools;
         let released =
@@ -289,7 +294,7 @@
 }
 
 /// Reports whether a listing has the address and service of the server known by its id.
-fn is_same(known: &Upstream, listed: &Listed) -> bool {
+fn is_same(known: &Upstream, listed: &Listing) -> bool {
     known.address == listed.address && known.pool == listed.pool
 }
 
@@ -300,13 +305,13 @@
 fn is_later(known: &Upstream, listed: Option<Incarnation>) -> bool {
     match known.incarnation() {
         None => listed.is_some(),
-        known => Incarnation::compare(known, listed) == Told::Newer,
+        known => Incarnation::compare(known, listed) == IncarnationOrder::Newer,
     }
 }
 
 /// Reports whether a listed incarnation is earlier than the known one.
 fn is_earlier(known: &Upstream, listed: Option<Incarnation>) -> bool {
-    Incarnation::compare(known.incarnation(), listed) == Told::Older
+    Incarnation::compare(known.incarnation(), listed) == IncarnationOrder::Older
 }
 
 /// Marks an upstream as leaving if another one was started or listed later at its
@@ -321,10 +326,10 @@
     let others = by_id.values().filter(|known| known.id != new.id);
     for known in others.filter(|known| known.address == new.address) {
         match Incarnation::compare(known.incarnation(), new.incarnation()) {
-            Told::Newer => known.leave(),
-            Told::Older => new.leave(),
-            Told::Same if known.listed_at < new.listed_at => known.leave(),
-            Told::Same => new.leave(),
+            IncarnationOrder::Newer => known.leave(),
+            IncarnationOrder::Older => new.leave(),
+            IncarnationOrder::Same if known.listed_at < new.listed_at => known.leave(),
+            IncarnationOrder::Same => new.leave(),
         }
     }
 }
--- a/crates/bilberry-gateway/src/weights.rs
+++ b/crates/bilberry-gateway/src/weights.rs
@@ -3,15 +3,15 @@
 use std::collections::HashMap;
 use std::sync::Mutex;
 
+use bilberry_core::AnnouncedWeights;
 use bilberry_core::Name;
-use bilberry_core::NamedWeights;
 use bilberry_core::UnixMs;
 use tokio::sync::Notify;
 
 /// The known versions of each model's weights.
 #[derive(Debug, Default)]
 pub struct KnownWeights {
-    by_model: Mutex<HashMap<Name, NamedWeights>>,
+    by_model: Mutex<HashMap<Name, AnnouncedWeights>>,
     /// Notified when a new version becomes known.
     pub(crate) changed: Notify,
 }
@@ -21,7 +21,7 @@
     /// whether it is new.
     pub fn note(&self, model: &Name, version: u64, since: UnixMs) -> bool {
         let mut by_model = self.by_model.lock().unwrap();
-        let is_new = by_model.entry(model.clone()).or_default().note(version, since);
+        let is_new = by_model.entry(model.clone()).or_default().record(version, since);
         if is_new {
             self.changed.notify_one();
         }
@@ -45,7 +45,7 @@
         now: UnixMs,
     ) -> Option<u64> {
         let by_model = self.by_model.lock().unwrap();
-        let since = by_model.get(model)?.lacking_since(version.unwrap_or_default())?;
+        let since = by_model.get(model)?.outdated_since(version.unwrap_or_default())?;
         Some(now.ms_since(since))
     }
 }
--- a/crates/bilberry-gateway/tests/knowledge.rs
+++ b/crates/bilberry-gateway/tests/knowledge.rs
@@ -6,12 +6,12 @@
 use bilberry_core::StorePosition;
 use bilberry_core::UnixMs;
 use bilberry_core::part_key;
-use bilberry_gateway::KeptParts;
-use bilberry_gateway::Listed;
-use bilberry_gateway::Pace;
+use bilberry_gateway::Listing;
 use bilberry_gateway::PromptKeys;
 use bilberry_gateway::PromptPart;
-use bilberry_gateway::Seat;
+use bilberry_gateway::Reservation;
+use bilberry_gateway::SpeedEstimates;
+use bilberry_gateway::StoreContents;
 use bilberry_gateway::Upstream;
 use bilberry_wire::CacheChange;
 use bilberry_wire::UpstreamState;
@@ -21,11 +21,11 @@
 }
 
 fn engine() -> Upstream {
-    Upstream::new(&Listed {
+    Upstream::new(&Listing {
         id: "engine-0".into(),
         pool: "llm".into(),
         address: "10.0.0.1:8000".parse().unwrap(),
-        place: "hall-a".into(),
+        data_centre: "hall-a".into(),
         slots: 48,
         leaving: false,
         models: vec![("model".into(), 1)],
@@ -41,17 +41,21 @@
 
 #[test]
 fn the_pace_of_an_engine_is_a_moving_average_of_its_answers() {
-    let pace = Pace::default();
+    let speed = SpeedEstimates::default();
     let pool = Name::from("llm");
-    let first_us = pace.token_us(&pool);
+    let first_us = speed.token_us(&pool);
     // One delayed answer moves the mean by a sixteenth of the difference.
-    pace.note_answer(&pool, 10_000, 100);
-    assert_eq!(pace.token_us(&pool), (first_us * 15 + 100_000) / 16);
-    (0..200).for_each(|_| pace.note_answer(&pool, 1_200, 100));
-    assert!((12_000..12_020).contains(&pace.token_us(&pool)), "{}", pace.token_us(&pool));
+    speed.record_response(&pool, 10_000, 100);
+    assert_eq!(speed.token_us(&pool), (first_us * 15 + 100_000) / 16);
+    (0..200).for_each(|_| speed.record_response(&pool, 1_200, 100));
+    assert!(
+        (12_000..12_020).contains(&speed.token_us(&pool)),
+        "{}",
+        speed.token_us(&pool)
+    );
     // An answer without tokens does not count.
-    pace.note_answer(&pool, 5, 0);
-    assert_eq!(pace.token_us("other"), first_us);
+    speed.record_response(&pool, 5, 0);
+    assert_eq!(speed.token_us("other"), first_us);
 }
 
 #[test]
@@ -59,7 +63,7 @@
     // The store evicts the least recently used parts. Without a reporting sidecar, a part
     // counts as kept for some seconds after it was written. With one, it counts while the
     // store holds it, and for the short time until the report of a write can arrive.
-    let kept = KeptParts::default();
+    let kept = StoreContents::default();
     let writer = Name::from("engine-1");
     kept.record_write(&writer, 1, at(0));
     assert!(kept.has(1, at(10_000)));
@@ -90,18 +94,18 @@
     assert_eq!(keys.keys().collect::<Vec<_>>(), part_keys);
     let now = at(0);
     let upstream = engine();
-    upstream.feed(idle(), now);
-    let kept = KeptParts::default();
-    assert_eq!(keys.held_tokens(&upstream, now), 0);
+    upstream.apply_state(idle(), now);
+    let kept = StoreContents::default();
+    assert_eq!(keys.cached_tokens(&upstream, now), 0);
     upstream.expect_part(part_keys[0], now);
     upstream.expect_part(part_keys[2], now);
     kept.record_write(&upstream.id, part_keys[1], now);
-    assert_eq!(keys.held_tokens(&upstream, now), 100);
-    assert_eq!(keys.kept_tokens(&kept, now), 0);
+    assert_eq!(keys.cached_tokens(&upstream, now), 100);
+    assert_eq!(keys.stored_tokens(&kept, now), 0);
     upstream.expect_part(part_keys[1], now);
     kept.record_write(&upstream.id, part_keys[0], now);
-    assert_eq!(keys.held_tokens(&upstream, now), 160);
-    assert_eq!(keys.kept_tokens(&kept, now), 140);
+    assert_eq!(keys.cached_tokens(&upstream, now), 160);
+    assert_eq!(keys.stored_tokens(&kept, now), 140);
 }
 
 #[test]
@@ -111,8 +115,8 @@
     // no request may fetch from there any more, although the sidecar's last state shows
     // the engine as up.
     let engine = engine();
-    engine.feed(idle(), at(0));
-    engine.cache_change(
+    engine.apply_state(idle(), at(0));
+    engine.apply_cache_change(
         &CacheChange { reset: true, added: vec![7], ..CacheChange::default() },
         at(0),
     );
@@ -121,10 +125,10 @@
     engine.record_failure(at(200));
     assert!(!engine.holds(7, at(200)));
     // A later answer shows that the engine is up.
-    engine.note_answer();
+    engine.record_answer();
     assert!(engine.holds(7, at(300)));
     engine.record_failure(at(400));
-    engine.feed(idle(), at(500));
+    engine.apply_state(idle(), at(500));
     assert!(engine.holds(7, at(500)));
     // Evictions are not reported without a connection, so parts expire.
     assert!(!engine.holds(7, at(60_000)));
@@ -137,21 +141,21 @@
     // neither does a refusal of a busy engine; a failed send counts until the next
     // answer.
     let engine = engine();
-    assert!(engine.lives(at(0)));
-    engine.feed(idle(), at(0));
+    assert!(engine.is_alive(at(0)));
+    engine.apply_state(idle(), at(0));
     engine.clear_feed();
     engine.record_busy(at(0), 60);
-    assert!(engine.lives(at(10)));
+    assert!(engine.is_alive(at(10)));
     engine.record_failure(at(100));
-    assert!(!engine.lives(at(5_000)));
-    engine.note_answer();
-    assert!(engine.lives(at(5_000)));
-    engine.feed(UpstreamState { up: false, ..idle() }, at(6_000));
-    assert!(!engine.lives(at(6_000)));
-    engine.feed(idle(), at(7_000));
-    assert!(engine.lives(at(7_000)));
+    assert!(!engine.is_alive(at(5_000)));
+    engine.record_answer();
+    assert!(engine.is_alive(at(5_000)));
+    engine.apply_state(UpstreamState { up: false, ..idle() }, at(6_000));
+    assert!(!engine.is_alive(at(6_000)));
+    engine.apply_state(idle(), at(7_000));
+    assert!(engine.is_alive(at(7_000)));
     engine.leave();
-    assert!(!engine.lives(at(7_000)));
+    assert!(!engine.is_alive(at(7_000)));
 }
 
 #[test]
@@ -162,23 +166,23 @@
     // restriction.
     let engine = Arc::new(engine());
     let usable = |now: u64| engine.offer(at(now), "a", None).usable;
-    let seat = || Seat::take(engine.clone(), 10, 10, Arc::default());
-    engine.feed(idle(), at(0));
-    let before = seat();
+    let reservation = || Reservation::take(engine.clone(), 10, 10, Arc::default());
+    engine.apply_state(idle(), at(0));
+    let before = reservation();
     engine.clear_feed();
     engine.mark_unresponsive();
     assert!(usable(2_000), "requests sent before are not probes");
-    let probe = seat();
+    let probe = reservation();
     assert!(!usable(2_000));
     drop(probe);
     assert!(usable(3_000), "the caller of the probe has left");
-    let _probe = seat();
-    engine.note_answer();
+    let _probe = reservation();
+    engine.record_answer();
     assert!(usable(4_000));
     engine.mark_unresponsive();
-    let _probe = seat();
+    let _probe = reservation();
     assert!(!usable(5_000));
-    engine.feed(idle(), at(6_000));
+    engine.apply_state(idle(), at(6_000));
     assert!(usable(6_000));
     drop(before);
 }
@@ -194,7 +198,7 @@
         engine.expect_reading(key, now.plus_ms(50), now);
         let reported =
             CacheChange { added: vec![1_000_000 + key], ..CacheChange::default() };
-        engine.cache_change(&reported, now);
+        engine.apply_cache_change(&reported, now);
     }
     assert!(engine.part_count() < 8_000, "{}", engine.part_count());
     // The parts that were reported or expected last are still recorded.
--- a/crates/bilberry-node/src/exchange.rs
+++ b/crates/bilberry-node/src/exchange.rs
@@ -8,15 +8,15 @@
 use bilberry_platform::Platform;
 use bilberry_wire::Body;
 use bilberry_wire::Piece;
-use bilberry_wire::PiecesAsk;
-use bilberry_wire::StateAsk;
+use bilberry_wire::PiecesRequest;
+use bilberry_wire::StateRequest;
 use rand::seq::IndexedRandom;
 use tokio::sync::Semaphore;
 use xtra::prelude::*;
 
-use crate::Links;
 use crate::Node;
-use crate::sync_actor::HeadSeen;
+use crate::PeerPool;
+use crate::sync_actor::HeadReceived;
 use crate::sync_actor::SyncActor;
 
 /// The timeout of one request to a peer.
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub(crate) struct Exchanger<P> {
     pub(crate) node: Arc<Node>,
-    pub(crate) links: Links,
+    pub(crate) links: PeerPool,
     pub(crate) sync: Address<SyncActor<P>>,
     pub(crate) seeds: Vec<SocketAddr>,
 }
@@ -103,24 +103,24 @@
 
     /// Requests a peer's state and passes it to the actor.
     async fn exchange_with(&self, peer: SocketAddr) {
-        let ask = StateAsk {
+        let ask = StateRequest {
             have_revision: self.node.config.revision(),
             members_digest: self.node.members.current().digest,
         };
-        let asked = self.links.ask(peer, Body::StateAsk(ask), ASK_TIMEOUT).await;
-        let Ok(Body::StateAnswer(answer)) = asked else { return };
+        let asked = self.links.ask(peer, Body::StateRequest(ask), ASK_TIMEOUT).await;
+        let Ok(Body::StateResponse(answer)) = asked else { return };
         self.node.merge_members(answer.members);
         if answer.head.is_empty() {
             return;
         }
         let pieces = self.fetch_pieces(peer, &answer.head).await;
-        let _ = self.sync.send(HeadSeen { head: answer.head, pieces }).await;
+        let _ = self.sync.send(HeadReceived { head: answer.head, pieces }).await;
     }
 
     /// Fetches the pieces of a head that are not installed, from the same peer.
     async fn fetch_pieces(&self, peer: SocketAddr, head_text: &str) -> Vec<Piece> {
         let Ok(head) = serde_json::from_str::<Head>(head_text) else { return Vec::new() };
-        let active = self.node.config.in_force();
+        let active = self.node.config.active();
         let mut missing: Vec<_> = head
             .pieces
             .into_iter()
@@ -129,9 +129,9 @@
             .collect();
         let mut pieces = Vec::new();
         while !missing.is_empty() {
-            let ask = Body::PiecesAsk(PiecesAsk { hashes: missing.clone() });
+            let ask = Body::PiecesRequest(PiecesRequest { hashes: missing.clone() });
             let asked = self.links.ask(peer, ask, ASK_TIMEOUT).await;
-            let Ok(Body::PiecesAnswer(answer)) = asked else { break };
+            let Ok(Body::PiecesResponse(answer)) = asked else { break };
             if answer.pieces.is_empty() {
                 break;
             }
--- a/crates/bilberry-platform/src/http.rs
+++ b/crates/bilberry-platform/src/http.rs
@@ -124,7 +124,10 @@
         match response {
             Ok(response) if is_failure(response.status()) => {
                 self.record_failure();
-                Err(PlatformError::Unclear(format!("status {}", response.status())))
+                Err(PlatformError::UnknownOutcome(format!(
+                    "status {}",
+                    response.status()
+                )))
             }
             Ok(response) => {
                 *self.shared.health.lock().unwrap() = Health::default();
@@ -132,7 +135,7 @@
             }
             Err(reason) => {
                 self.record_failure();
-                Err(PlatformError::Unclear(reason))
+                Err(PlatformError::UnknownOutcome(reason))
             }
         }
     }
@@ -171,9 +174,9 @@
     ///
     /// Otherwise each call during an outage would block until its deadline.
     fn admit(&self) -> Result<(), PlatformError> {
-        match self.shared.health.lock().unwrap().breaker.admit(SystemClock.now()) {
+        match self.shared.health.lock().unwrap().breaker.try_acquire(SystemClock.now()) {
             true => Ok(()),
-            false => Err(PlatformError::Open),
+            false => Err(PlatformError::CircuitOpen),
         }
     }
 
@@ -185,7 +188,7 @@
         let unit = rand::random_range(0.5..1.0);
         let max_ms = self.shared.max_open_ms;
         let open_ms = backoff_ms(health.consecutive_failures, MIN_OPEN_MS, max_ms, unit);
-        health.breaker.fail(SystemClock.now().plus_ms(open_ms));
+        health.breaker.record_failure(SystemClock.now().plus_ms(open_ms));
     }
 }
 
@@ -277,8 +280,9 @@
 }
 
 fn decode<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, PlatformError> {
-    serde_json::from_slice(body)
-        .map_err(|error| PlatformError::Unclear(format!("unreadable response: {error}")))
+    serde_json::from_slice(body).map_err(|error| {
+        PlatformError::UnknownOutcome(format!("unreadable response: {error}"))
+    })
 }
 
 /// Returns whether a status means that the platform is unavailable or overloaded.
@@ -287,5 +291,5 @@
 }
 
 fn refused(status: StatusCode, body: &[u8]) -> PlatformError {
-    PlatformError::Refused(format!("{status}: {}", String::from_utf8_lossy(body)))
+    PlatformError::Rejected(format!("{status}: {}", String::from_utf8_lossy(body)))
 }
--- a/crates/bilberry-platform/src/lib.rs
+++ b/crates/bilberry-platform/src/lib.rs
@@ -17,5 +17,5 @@
 pub use object::Listing;
 pub use object::Object;
 pub use port::Platform;
-pub use port::Settled;
-pub use port::settle;
+pub use port::WriteResult;
+pub use port::write_or_read_back;
--- a/crates/bilberry-platform/src/port.rs
+++ b/crates/bilberry-platform/src/port.rs
@@ -54,11 +54,11 @@
 
 /// The outcome of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Settled {
+pub enum WriteResult {
     /// The write was applied and produced this version.
     Written(u64),
     /// The object holds another writer's value.
-    Lost(Object),
+    Conflict(Object),
 }
 
 /// Performs a conditional write and reads the object back unless it succeeded.
@@ -66,26 +66,28 @@
 /// If the response to an applied write is lost, a retry fails with a conflict, and
 /// the writer would mistake its own value for another writer's. `is_ours` must
 /// identify the writer's value by a token that no other writer uses.
-pub async fn settle<P: Platform>(
+pub async fn write_or_read_back<P: Platform>(
     platform: &P,
     key: &str,
     value: &str,
     expected: u64,
     is_ours: impl Fn(&str) -> bool,
-) -> Result<Settled, PlatformError> {
+) -> Result<WriteResult, PlatformError> {
     let unclear = match platform.write(key, value, expected).await {
-        Ok(version) => return Ok(Settled::Written(version)),
+        Ok(version) => return Ok(WriteResult::Written(version)),
         Err(PlatformError::Conflict(_)) => None,
-        Err(error @ PlatformError::Unclear(_)) => Some(error),
+        Err(error @ PlatformError::UnknownOutcome(_)) => Some(error),
         Err(error) => return Err(error),
     };
     match (platform.read(key).await?, unclear) {
         (Some(found), _) if found.value.as_deref().is_some_and(&is_ours) => {
-            Ok(Settled::Written(found.version))
+            Ok(WriteResult::Written(found.version))
         }
-        (Some(found), _) if found.version != expected => Ok(Settled::Lost(found)),
+        (Some(found), _) if found.version != expected => Ok(WriteResult::Conflict(found)),
         // The write has not been applied but still may be: the outcome is unknown.
         (_, Some(error)) => Err(error),
-        (_, None) => Err(PlatformError::Unclear("the object vanished".to_string())),
+        (_, None) => {
+            Err(PlatformError::UnknownOutcome("the object vanished".to_string()))
+        }
     }
 }
--- a/crates/bilberry-steward/src/steward.rs
+++ b/crates/bilberry-steward/src/engine_controller.rs
@@ -5,11 +5,11 @@
 
 use bilberry_core::Clock;
 use bilberry_core::Incarnation;
+use bilberry_core::IncarnationOrder;
 use bilberry_core::Rollout;
-use bilberry_core::Told;
 use bilberry_core::UnixMs;
-use bilberry_core::may_begin_load;
-use bilberry_core::sidecar_fence;
+use bilberry_core::may_start_load;
+use bilberry_core::sidecar_fencing_token;
 use bilberry_wire::ModelVersion;
 use bilberry_wire::UpstreamState;
 use tokio::sync::watch;
@@ -19,11 +19,11 @@
 use crate::CacheView;
 use crate::Engine;
 use crate::EngineReport;
-use crate::FirstOrder;
+use crate::LatestWeights;
 use crate::LoadOrder;
-use crate::Newest;
+use crate::OrderGate;
 use crate::OrderReply;
-use crate::StewardMetrics;
+use crate::SidecarMetrics;
 use crate::SwapMode;
 
 /// The interval between polls of the engine.
@@ -53,17 +53,17 @@
 
 /// Polls one engine, publishes its state and orders it to load weights.
 #[derive(Debug)]
-pub struct Steward<E, C> {
+pub struct EngineController<E, C> {
     engine: E,
     clock: C,
     holder: String,
-    weights_bound_ms: Option<u64>,
-    newest: Arc<Newest>,
+    outdated_weights_max_ms: Option<u64>,
+    newest: Arc<LatestWeights>,
     cache: Arc<CacheView>,
-    first_order: Arc<FirstOrder>,
+    order_gate: Arc<OrderGate>,
     state: watch::Sender<EngineState>,
     /// Counters and gauges.
-    pub metrics: StewardMetrics,
+    pub metrics: SidecarMetrics,
 }
 
 /// The engine state that a steward publishes.
@@ -90,10 +90,10 @@
 }
 
 impl PollState {
-    fn new(weights_bound_ms: Option<u64>) -> Self {
+    fn new(outdated_weights_max_ms: Option<u64>) -> Self {
         Self {
             incarnation: None,
-            rollout: Rollout::new(weights_bound_ms),
+            rollout: Rollout::new(outdated_weights_max_ms),
             failed_polls: 0,
             accepted_order: None,
             plan: None,
@@ -116,35 +116,35 @@
     sent_at: UnixMs,
 }
 
-impl<E: Engine, C: Clock> Steward<E, C> {
+impl<E: Engine, C: Clock> EngineController<E, C> {
     /// Creates a steward.
     ///
-    /// `holder` names this host in orders. `weights_bound_ms` is the time after which no
+    /// `holder` names this host in orders. `outdated_weights_max_ms` is the time after which no
     /// request may start on older weights.
     pub fn new(
         engine: E,
         clock: C,
         holder: String,
-        weights_bound_ms: Option<u64>,
-        newest: Arc<Newest>,
+        outdated_weights_max_ms: Option<u64>,
+        newest: Arc<LatestWeights>,
         cache: Arc<CacheView>,
     ) -> Self {
         Self {
             engine,
             clock,
             holder,
-            weights_bound_ms,
+            outdated_weights_max_ms,
             newest,
             cache,
-            first_order: Arc::default(),
+            order_gate: Arc::default(),
             state: watch::Sender::default(),
-            metrics: StewardMetrics::new(),
+            metrics: SidecarMetrics::new(),
         }
     }
 
-    /// Sends no order before `first_order` allows it.
-    pub fn after(self, first_order: Arc<FirstOrder>) -> Self {
-        Self { first_order, ..self }
+    /// Sends no order before `order_gate` allows it.
+    pub fn with_order_gate(self, order_gate: Arc<OrderGate>) -> Self {
+        Self { order_gate, ..self }
     }
 
     /// Subscribes to the engine's state.
@@ -154,7 +154,7 @@
 
     /// Polls the engine indefinitely.
     pub async fn run(self: Arc<Self>) {
-        let mut state = PollState::new(self.weights_bound_ms);
+        let mut state = PollState::new(self.outdated_weights_max_ms);
         loop {
             match self.poll().await {
                 Some(report) if self.admit_report(&report, &mut state) => {
@@ -171,7 +171,7 @@
         match timeout(ENGINE_TIMEOUT, self.engine.report()).await {
             Ok(Ok(report)) => Some(report),
             Ok(Err(error)) => {
-                log::debug!("{error}");
+                log::debug!(target: "bilberry_steward::steward", "{error}");
                 None
             }
             Err(_) => None,
@@ -185,14 +185,14 @@
     /// wait for a load that is never executed.
     fn admit_report(&self, report: &EngineReport, state: &mut PollState) -> bool {
         let relation = Incarnation::compare(state.incarnation, report.incarnation);
-        if relation == Told::Newer {
+        if relation == IncarnationOrder::Newer {
             log::info!(target: "engine", running = report.running, orders = report.orders; "started again");
-            *state = PollState::new(self.weights_bound_ms);
+            *state = PollState::new(self.outdated_weights_max_ms);
         }
-        if relation != Told::Older {
+        if relation != IncarnationOrder::Older {
             state.incarnation = report.incarnation.or(state.incarnation);
         }
-        relation != Told::Older
+        relation != IncarnationOrder::Older
     }
 
     fn record_response(&self, state: &mut PollState) {
@@ -232,7 +232,8 @@
             let upstream = &mut published.upstream;
             upstream.up = true;
             upstream.cache_epoch = self.cache.epoch();
-            upstream.born_ms = state.incarnation.map(|current| current.born_at.0);
+            upstream.started_at_ms =
+                state.incarnation.map(|current| current.started_at.0);
             upstream.leaving = report.is_leaving;
             upstream.loading = loading;
             upstream.models = report.models.clone();
@@ -247,7 +248,7 @@
         self.record_completed_load(report, state, now);
         let queued = report.queued;
         let is_due = |load: &NextLoad| {
-            load.starts_at <= now && may_begin_load(load.planned_at, queued, now)
+            load.starts_at <= now && may_start_load(load.planned_at, queued, now)
         };
         if let Some(load) = next_load.filter(|load| !report.busy && is_due(load)) {
             self.send_order(report, &load, state).await;
@@ -265,9 +266,9 @@
             let (version, since) =
                 self.newest.missing_version(&served.model, served.version)?;
             let weights = ModelVersion { model: served.model.clone(), version };
-            let planned_at = state.rollout.starts_at(since, self.newest.place());
+            let planned_at = state.rollout.starts_at(since, self.newest.rollout_place());
             let starts_at = planned_at.max(state.next_order_at);
-            let starts_at = starts_at.max(self.first_order.allowed_at());
+            let starts_at = starts_at.max(self.order_gate.allowed_at());
             Some(NextLoad { weights, planned_at, starts_at, outdated_since: since })
         };
         report.models.iter().find_map(load_for)
@@ -289,7 +290,7 @@
             return;
         }
         if let Some(plan) = &plan {
-            let place = self.newest.place();
+            let place = self.newest.rollout_place();
             self.metrics.plans.inc();
             log::info!(
                 target: "weights",
@@ -317,7 +318,7 @@
             let load_ms = now.ms_since(order.sent_at);
             log::info!(target: "weights", version = order.version, load_ms; "loaded");
             self.metrics.load_seconds.observe(load_ms as f64 / 1_000.0);
-            state.rollout.measure(load_ms);
+            state.rollout.record_load(load_ms);
             state.accepted_order = None;
         }
     }
@@ -335,14 +336,14 @@
             holder: self.holder.clone(),
             // Versions only increase, also across restarts of this process, which
             // persists no state. The fencing token therefore never decreases.
-            fencing_number: sidecar_fence(load.weights.version),
+            fencing_number: sidecar_fencing_token(load.weights.version),
             expected_orders: report.orders,
             incarnation: state.incarnation,
         };
         let reply = timeout(ENGINE_TIMEOUT, self.engine.load(&order)).await;
         let (outcome, delay_ms) = match &reply {
             Ok(Ok(OrderReply::Accepted)) => ("accepted", ORDER_DELAY_MS),
-            Ok(Ok(OrderReply::Holds)) => ("holds", ORDER_DELAY_MS),
+            Ok(Ok(OrderReply::AlreadyApplied)) => ("holds", ORDER_DELAY_MS),
             Ok(Ok(OrderReply::Conflict)) => ("conflict", ORDER_DELAY_MS),
             Ok(Ok(OrderReply::OtherIncarnation)) => {
                 ("other_incarnation", ORDER_RETRY_DELAY_MS)
--- a/crates/bilberry-steward/src/feed.rs
+++ b/crates/bilberry-steward/src/feed.rs
@@ -13,8 +13,8 @@
 use bilberry_wire::FrameCodec;
 use bilberry_wire::StoreChange;
 use bilberry_wire::UpstreamState;
-use bilberry_wire::WatchAnswer;
-use bilberry_wire::WatchAsk;
+use bilberry_wire::WatchRequest;
+use bilberry_wire::WatchResponse;
 use bilberry_wire::WireError;
 use futures_util::SinkExt;
 use futures_util::StreamExt;
@@ -34,7 +34,7 @@
 use crate::Engine;
 use crate::EngineState;
 use crate::FollowedStore;
-use crate::Newest;
+use crate::LatestWeights;
 use crate::PromptStores;
 use crate::WatchHub;
 use crate::WatchSource;
@@ -64,7 +64,7 @@
     /// The prompt stores that are followed at the request of entries.
     pub stores: PromptStores<E>,
     /// The newest known weights.
-    pub newest: Arc<Newest>,
+    pub newest: Arc<LatestWeights>,
     /// The crash reports of entries.
     pub crashes: CrashRelay,
     /// Watches the platform's store on behalf of entries.
@@ -149,10 +149,10 @@
             loads_in_ms: sent.loads_at.map(|at| at.ms_since(now)),
             ..sent.upstream.clone()
         };
-        let born_ms = Some(upstream.born_ms);
+        let started_at_ms = Some(upstream.started_at_ms);
         send(&mut framed, Body::UpstreamState(upstream)).await?;
         // Entries ignore the cache contents of an incarnation that they do not know yet.
-        if std::mem::replace(&mut sent_born_ms, born_ms) != born_ms {
+        if std::mem::replace(&mut sent_born_ms, started_at_ms) != started_at_ms {
             cache = CacheSubscription::new(feed.cache.clone());
             send(&mut framed, Body::CacheChange(cache.take_snapshot())).await?;
         }
@@ -205,13 +205,13 @@
                             feed.crashes.merge(notice, feed.clock.now());
                             continue;
                         }
-                        Some(Body::WatchAsk(request)) if watches.len() < MAX_PENDING_WATCHES => {
+                        Some(Body::WatchRequest(request)) if watches.len() < MAX_PENDING_WATCHES => {
                             watches.push(answer_watch(feed.hub.clone(), call, request));
                             continue;
                         }
                         _ => continue,
                     };
-                    feed.newest.hear_entry(&notice, feed.clock.now());
+                    feed.newest.record_notice(&notice, feed.clock.now());
                     let wanted = parse_addresses(&notice.prompt_stores);
                     stores.retain(|store: &StoreSubscription| wanted.contains(&store.address));
                     for address in wanted {
@@ -232,10 +232,10 @@
 async fn answer_watch<S: WatchSource, C: Clock>(
     hub: Arc<WatchHub<S, C>>,
     call: u64,
-    request: WatchAsk,
+    request: WatchRequest,
 ) -> Frame {
-    let answer: WatchAnswer = hub.answer(request).await;
-    Frame { call, body: Some(Body::WatchAnswer(answer)), ..Frame::default() }
+    let answer: WatchResponse = hub.answer(request).await;
+    Frame { call, body: Some(Body::WatchResponse(answer)), ..Frame::default() }
 }
 
 /// The subscription of one entry to a cache.
@@ -324,7 +324,7 @@
 fn is_urgent(before: &EngineState, now: &EngineState) -> bool {
     let urgent = |state: &EngineState| {
         let EngineState { upstream, loads_at } = state;
-        let incarnation = (upstream.cache_epoch, upstream.born_ms);
+        let incarnation = (upstream.cache_epoch, upstream.started_at_ms);
         (upstream.up, upstream.loading, upstream.leaving, incarnation, *loads_at)
     };
     urgent(before) != urgent(now) || before.upstream.models != now.upstream.models
--- a/crates/bilberry-steward/src/newest.rs
+++ b/crates/bilberry-steward/src/latest_weights.rs
@@ -3,38 +3,38 @@
 use std::collections::HashMap;
 use std::sync::Mutex;
 
+use bilberry_core::AnnouncedWeights;
 use bilberry_core::Name;
-use bilberry_core::NamedWeights;
 use bilberry_core::RolloutPlace;
 use bilberry_core::UnixMs;
 use bilberry_wire::EntryNotice;
 
 /// The newest weights of a service's models, and the engine's place in rollouts.
 #[derive(Debug, Default)]
-pub struct Newest {
+pub struct LatestWeights {
     known: Mutex<Known>,
 }
 
 #[derive(Debug, Default)]
 struct Known {
-    weights: HashMap<Name, NamedWeights>,
+    weights: HashMap<Name, AnnouncedWeights>,
     place: Option<RolloutPlace>,
 }
 
-impl Newest {
+impl LatestWeights {
     /// Records that weights exist; older versions change nothing.
-    pub fn hear(&self, model: &str, version: u64, now: UnixMs) {
+    pub fn record_version(&self, model: &str, version: u64, now: UnixMs) {
         let mut known = self.known.lock().unwrap();
-        known.weights.entry(model.into()).or_default().note(version, now);
+        known.weights.entry(model.into()).or_default().record(version, now);
     }
 
     /// Records the newest weights and the rollout place that an entry reports.
     ///
     /// A sidecar that is cut off from the platform learns of new weights from the
     /// entries, which see them at other upstreams.
-    pub fn hear_entry(&self, notice: &EntryNotice, now: UnixMs) {
+    pub fn record_notice(&self, notice: &EntryNotice, now: UnixMs) {
         for weights in notice.newest.iter().filter(|weights| weights.version > 0) {
-            self.hear(&weights.model, weights.version, now);
+            self.record_version(&weights.model, weights.version, now);
         }
         let servers = notice.servers as usize;
         let position = notice.position as usize;
@@ -47,14 +47,14 @@
     pub fn missing_version(&self, model: &str, version: u64) -> Option<(u64, UnixMs)> {
         let known = self.known.lock().unwrap();
         let weights = known.weights.get(model)?;
-        let since = weights.lacking_since(version)?;
+        let since = weights.outdated_since(version)?;
         weights.newest().map(|(newest, _)| (newest, since))
     }
 
     /// Returns the engine's place in rollouts of its service.
     ///
     /// Until an entry has reported one, the engine counts as the only one.
-    pub fn place(&self) -> RolloutPlace {
+    pub fn rollout_place(&self) -> RolloutPlace {
         let alone = RolloutPlace { position: 0, servers: 1, down: 0 };
         self.known.lock().unwrap().place.unwrap_or(alone)
     }
--- a/crates/bilberry-steward/src/watch_hub.rs
+++ b/crates/bilberry-steward/src/watch_hub.rs
@@ -10,16 +10,16 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use bilberry_core::Brought;
 use bilberry_core::Clock;
 use bilberry_core::Name;
+use bilberry_core::PendingWatch;
 use bilberry_core::StorePosition;
 use bilberry_core::UnixMs;
-use bilberry_core::WatchQuestion;
 use bilberry_core::WatchReply;
-use bilberry_wire::WatchAnswer;
-use bilberry_wire::WatchAsk;
+use bilberry_core::WatchResult;
 use bilberry_wire::WatchOutcome;
+use bilberry_wire::WatchRequest;
+use bilberry_wire::WatchResponse;
 use bytes::Bytes;
 use thiserror::Error;
 use tokio::sync::broadcast;
@@ -46,11 +46,11 @@
 
 /// The result of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SourceAnswer {
+pub enum SourceResponse {
     /// Nothing changed up to this position.
-    Quiet(StorePosition),
+    Unchanged(StorePosition),
     /// Something changed.
-    News {
+    Changed {
         /// The position up to which the changes are complete.
         position: StorePosition,
         /// The changes in the encoding of the store.
@@ -63,7 +63,7 @@
 /// The store did not give a usable answer.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("the store does not answer: {0}; entries query it directly in the meantime")]
-pub struct SourceLost(pub String);
+pub struct WatchSourceError(pub String);
 
 /// A client of the platform's store.
 pub trait WatchSource: Clone + Send + Sync + 'static {
@@ -73,7 +73,7 @@
         kind: &str,
         revision: u64,
         wait_ms: u64,
-    ) -> impl Future<Output = Result<SourceAnswer, SourceLost>> + Send;
+    ) -> impl Future<Output = Result<SourceResponse, WatchSourceError>> + Send;
 }
 
 /// Watches kinds of objects while clients request their changes.
@@ -97,7 +97,7 @@
     /// Whether the last call failed.
     failing: bool,
     /// The most recent request.
-    request: WatchAsk,
+    request: WatchRequest,
     requested_at: UnixMs,
     outcomes: broadcast::Sender<Outcome>,
 }
@@ -106,24 +106,24 @@
 #[derive(Debug)]
 struct LastChange {
     unchanged_since: StorePosition,
-    update: Brought<Bytes>,
+    update: WatchResult<Bytes>,
 }
 
 impl SharedWatch {
     /// Answers a client that lags with the last change, if it has missed no other.
-    fn answer_with_last_change(&self, question: WatchQuestion) -> WatchAnswer {
+    fn answer_with_last_change(&self, question: PendingWatch) -> WatchResponse {
         let missed_no_other =
             |last: &&LastChange| !question.is_behind(last.unchanged_since);
         let last = self.last_change.as_ref().filter(missed_no_other);
-        let reply = last.and_then(|last| question.hear(&last.update));
-        into_answer(reply.unwrap_or(WatchReply::OutOfStep))
+        let reply = last.and_then(|last| question.reply_from(&last.update));
+        into_answer(reply.unwrap_or(WatchReply::OutOfSync))
     }
 }
 
 /// The outcome of a call, sent to all waiting clients.
 #[derive(Debug, Clone)]
 enum Outcome {
-    Update(Brought<Bytes>),
+    Update(WatchResult<Bytes>),
     HistoryLost,
     Failed,
 }
@@ -141,18 +141,20 @@
     }
 
     /// Answers a request once a call to the store has an outcome for it.
-    pub async fn answer(self: Arc<Self>, request: WatchAsk) -> WatchAnswer {
+    pub async fn answer(self: Arc<Self>, request: WatchRequest) -> WatchResponse {
         let arrived_at = self.clock.now();
-        let question = WatchQuestion { position: request.position(), arrived_at };
+        let question = PendingWatch { position: request.position(), arrived_at };
         let mut outcomes = match self.subscribe(request, question) {
             Ok(outcomes) => outcomes,
             Err(answer) => return answer,
         };
         loop {
             let reply = match outcomes.recv().await {
-                Ok(Outcome::Update(update)) => question.hear(&update),
-                Ok(Outcome::Failed) => return answer_without_changes(WatchOutcome::Lost),
-                Ok(Outcome::HistoryLost) | Err(_) => Some(WatchReply::OutOfStep),
+                Ok(Outcome::Update(update)) => question.reply_from(&update),
+                Ok(Outcome::Failed) => {
+                    return answer_without_changes(WatchOutcome::StoreUnavailable);
+                }
+                Ok(Outcome::HistoryLost) | Err(_) => Some(WatchReply::OutOfSync),
             };
             if let Some(reply) = reply {
                 return into_answer(reply);
@@ -165,9 +167,9 @@
     /// Returns an answer instead if the request can be answered immediately.
     fn subscribe(
         self: &Arc<Self>,
-        request: WatchAsk,
-        question: WatchQuestion,
-    ) -> Result<broadcast::Receiver<Outcome>, WatchAnswer> {
+        request: WatchRequest,
+        question: PendingWatch,
+    ) -> Result<broadcast::Receiver<Outcome>, WatchResponse> {
         let mut watches = self.watches.lock().unwrap();
         let kind = Name::from(&request.kind);
         let is_full = watches.len() >= MAX_WATCHED_KINDS;
@@ -179,13 +181,13 @@
                     // The last call failed, so the client should not wait for another
                     // call that is likely to fail.
                     () if shared.failing => {
-                        Err(answer_without_changes(WatchOutcome::Lost))
+                        Err(answer_without_changes(WatchOutcome::StoreUnavailable))
                     }
                     // The client does not support eras, so it could not learn the era
                     // from the store either. It would alternate between the store and
                     // this hub without a delay.
-                    () if question.knows_no_era_of(shared.unchanged_since) => {
-                        Err(answer_without_changes(WatchOutcome::Lost))
+                    () if question.lacks_era_of(shared.unchanged_since) => {
+                        Err(answer_without_changes(WatchOutcome::StoreUnavailable))
                     }
                     () if question.is_behind(shared.unchanged_since) => {
                         Err(shared.answer_with_last_change(question))
@@ -193,7 +195,9 @@
                     () => Ok(shared.outcomes.subscribe()),
                 }
             }
-            None if is_full => Err(answer_without_changes(WatchOutcome::Lost)),
+            None if is_full => {
+                Err(answer_without_changes(WatchOutcome::StoreUnavailable))
+            }
             None => {
                 let (outcomes, receiver) = broadcast::channel(OUTCOME_BUFFER);
                 let position = question.position;
@@ -220,16 +224,26 @@
             let called_at = self.clock.now();
             let call = self.source.watch(&kind, position.revision, params.wait_ms);
             let update = match call.await {
-                Ok(SourceAnswer::Quiet(to)) => {
+                Ok(SourceResponse::Unchanged(to)) => {
                     let latest = called_at.plus_ms(params.wait_ms);
                     let known_at = latest.min(self.clock.now());
-                    Brought { from: position, to, news: None, known_at }
+                    WatchResult {
+                        from: position,
+                        to,
+                        changes: None,
+                        confirmed_at: known_at,
+                    }
                 }
-                Ok(SourceAnswer::News { position: to, changes }) => {
+                Ok(SourceResponse::Changed { position: to, changes }) => {
                     let news = Some(changes);
-                    Brought { from: position, to, news, known_at: called_at }
+                    WatchResult {
+                        from: position,
+                        to,
+                        changes: news,
+                        confirmed_at: called_at,
+                    }
                 }
-                Ok(SourceAnswer::HistoryLost) => break,
+                Ok(SourceResponse::HistoryLost) => break,
                 Err(error) => {
                     self.log_failure(&kind, &error);
                     self.broadcast(&kind, Outcome::Failed);
@@ -237,16 +251,16 @@
                     continue;
                 }
             };
-            if !update.is_of_one_era() {
+            if !update.is_single_era() {
                 break;
             }
-            let is_change = update.news.is_some();
+            let is_change = update.changes.is_some();
             position = if is_change { update.to } else { position.max(update.to) };
             self.broadcast(&kind, Outcome::Update(update));
             if is_change {
                 // Lets changes in quick succession accumulate into one answer.
                 let next_at = called_at.plus_ms(params.spacing_ms);
-                sleep(next_at.left(self.clock.now())).await;
+                sleep(next_at.remaining(self.clock.now())).await;
             }
         }
         let ended = self.watches.lock().unwrap().remove(&kind);
@@ -276,7 +290,7 @@
         let mut watches = self.watches.lock().unwrap();
         let Some(shared) = watches.get_mut(kind) else { return };
         shared.failing = matches!(outcome, Outcome::Failed);
-        if let Outcome::Update(update @ Brought { news: Some(_), .. }) = &outcome {
+        if let Outcome::Update(update @ WatchResult { changes: Some(_), .. }) = &outcome {
             let unchanged_since =
                 std::mem::replace(&mut shared.unchanged_since, update.to);
             let update = update.clone();
@@ -287,7 +301,7 @@
     }
 
     /// Logs the first of consecutive failures.
-    fn log_failure(&self, kind: &Name, error: &SourceLost) {
+    fn log_failure(&self, kind: &Name, error: &WatchSourceError) {
         let watches = self.watches.lock().unwrap();
         if watches.get(kind).is_some_and(|shared| !shared.failing) {
             log::warn!(target: "store", kind = kind.as_str(), reason = error.to_string().as_str(); "lost while watching for entries");
@@ -295,20 +309,20 @@
     }
 }
 
-fn into_answer(reply: WatchReply<Bytes>) -> WatchAnswer {
-    let (outcome, position, known_ms, news) = match reply {
-        WatchReply::News { position, news, known_ms } => {
-            (WatchOutcome::News, position, known_ms, news)
+fn into_answer(reply: WatchReply<Bytes>) -> WatchResponse {
+    let (outcome, position, confirmed_ms, news) = match reply {
+        WatchReply::Changes { position, news, confirmed_ms } => {
+            (WatchOutcome::Changed, position, confirmed_ms, news)
         }
-        WatchReply::Quiet { position, known_ms } => {
-            (WatchOutcome::Quiet, position, known_ms, Bytes::new())
+        WatchReply::Unchanged { position, confirmed_ms } => {
+            (WatchOutcome::Unchanged, position, confirmed_ms, Bytes::new())
         }
-        WatchReply::OutOfStep => return answer_without_changes(WatchOutcome::OutOfStep),
+        WatchReply::OutOfSync => return answer_without_changes(WatchOutcome::OutOfSync),
     };
     let StorePosition { era, revision } = position;
-    WatchAnswer { outcome: outcome.into(), revision, known_ms, news, era }
+    WatchResponse { outcome: outcome.into(), revision, confirmed_ms, changes: news, era }
 }
 
-fn answer_without_changes(outcome: WatchOutcome) -> WatchAnswer {
-    WatchAnswer { outcome: outcome.into(), ..WatchAnswer::default() }
+fn answer_without_changes(outcome: WatchOutcome) -> WatchResponse {
+    WatchResponse { outcome: outcome.into(), ..WatchResponse::default() }
 }
--- a/crates/bilberry-wire/src/feed.rs
+++ b/crates/bilberry-wire/src/feed.rs
@@ -51,7 +51,7 @@
     pub loads_in_ms: Option<u64>,
     /// When the upstream started, in Unix milliseconds, if it reports that.
     #[prost(fixed64, optional, tag = "11")]
-    pub born_ms: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// Whether it has announced its shutdown in a response.
     #[prost(bool, tag = "12")]
     pub leaving: bool,
@@ -87,18 +87,18 @@
 pub struct ReadingNotice {
     /// Parts that the upstream starts to read.
     #[prost(message, repeated, tag = "1")]
-    pub begun: Vec<PartReading>,
+    pub begun: Vec<PrefillNotice>,
     /// Parts that have been read, as hashes of salt and part.
     #[prost(fixed64, repeated, tag = "2")]
     pub read: Vec<u64>,
     /// When the upstream reading them started, in Unix milliseconds, if known.
     #[prost(fixed64, optional, tag = "3")]
-    pub born_ms: Option<u64>,
+    pub started_at_ms: Option<u64>,
 }
 
 /// A prompt part that is being read.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct PartReading {
+pub struct PrefillNotice {
     /// The part, as a hash of salt and part.
     #[prost(fixed64, tag = "1")]
     pub part: u64,
@@ -134,22 +134,22 @@
     pub removed: Vec<u64>,
     /// When the holder of the parts started, in Unix milliseconds, if known.
     #[prost(fixed64, optional, tag = "4")]
-    pub born_ms: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// Parts that the upstream has started to read.
     #[prost(message, repeated, tag = "5")]
-    pub reading: Vec<PartReading>,
+    pub reading: Vec<PrefillNotice>,
 }
 
 impl UpstreamState {
     /// Returns the incarnation that this message describes, if known.
     pub fn incarnation(&self) -> Option<Incarnation> {
-        self.born_ms.map(|ms| Incarnation { born_at: UnixMs(ms) })
+        self.started_at_ms.map(|ms| Incarnation { started_at: UnixMs(ms) })
     }
 }
 
 impl CacheChange {
     /// Returns the incarnation that this message describes, if known.
     pub fn incarnation(&self) -> Option<Incarnation> {
-        self.born_ms.map(|ms| Incarnation { born_at: UnixMs(ms) })
+        self.started_at_ms.map(|ms| Incarnation { started_at: UnixMs(ms) })
     }
 }
--- a/crates/bilberryd/src/hosted.rs
+++ b/crates/bilberryd/src/hosted.rs
@@ -6,25 +6,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use bilberry_adapter::AnnouncedWeightsFollower;
 use bilberry_adapter::Claims;
 use bilberry_adapter::ConfigFollower;
 use bilberry_adapter::HostRole;
 use bilberry_adapter::HostSettings;
 use bilberry_adapter::HostsFollower;
 use bilberry_adapter::HttpEngine;
-use bilberry_adapter::NamedWeightsFollower;
+use bilberry_adapter::MAX_ORDER_DELAY_MS;
 use bilberry_adapter::NoHubs;
-use bilberry_adapter::ORDER_MS;
 use bilberry_adapter::ObjectStore;
 use bilberry_adapter::OrderSettings;
 use bilberry_adapter::PlatformDialect;
 use bilberry_adapter::WeightsFollower;
 use bilberry_adapter::allow_first_order;
 use bilberry_adapter::follow;
-use bilberry_adapter::keep_reach;
-use bilberry_adapter::order_unattended;
+use bilberry_adapter::monitor_store_reachability;
+use bilberry_adapter::order_engines_without_sidecar;
 use bilberry_core::BootClock;
-use bilberry_core::BudgetTerms;
+use bilberry_core::BudgetLimits;
 use bilberry_core::Clock;
 use bilberry_gateway::Gateway;
 use bilberry_gateway::GatewaySettings;
@@ -36,11 +36,11 @@
 use bilberry_node::bind;
 use bilberry_steward::CacheView;
 use bilberry_steward::CrashRelay;
+use bilberry_steward::EngineController;
 use bilberry_steward::Feed;
-use bilberry_steward::FirstOrder;
-use bilberry_steward::Newest;
+use bilberry_steward::LatestWeights;
+use bilberry_steward::OrderGate;
 use bilberry_steward::PromptStores;
-use bilberry_steward::Steward;
 use bilberry_steward::WatchHub;
 use bilberry_steward::serve_feed;
 use thiserror::Error;
@@ -85,7 +85,7 @@
 
 /// An error on running a hosted process.
 #[derive(Debug, Error)]
-pub enum HostedError {
+pub enum PlatformRunError {
     /// Listening on an address or setting up the log failed.
     #[error(transparent)]
     Start(#[from] StartError),
@@ -99,10 +99,10 @@
 /// Runs a process with the platform's settings until it is stopped.
 ///
 /// Returns whether all requests in progress were completed.
-pub async fn run_hosted(
+pub async fn run_on_platform(
     settings: HostSettings,
     path: PathBuf,
-) -> Result<bool, HostedError> {
+) -> Result<bool, PlatformRunError> {
     log::info!(
         target: "process",
         host = settings.host.as_str(),
@@ -138,45 +138,48 @@
     }
 }
 
-async fn run_entry(settings: HostSettings) -> Result<bool, HostedError> {
-    let callers = settings.callers.ok_or(HostedError::NoAddress("callers"))?;
-    let readiness = settings.readiness.ok_or(HostedError::NoAddress("readiness"))?;
+async fn run_entry(settings: HostSettings) -> Result<bool, PlatformRunError> {
+    let callers = settings.callers.ok_or(PlatformRunError::NoAddress("callers"))?;
+    let readiness = settings.readiness.ok_or(PlatformRunError::NoAddress("readiness"))?;
     let clock = BootClock::new();
     let gateway = Arc::new(Gateway::new(
         PlatformDialect,
         clock,
         GatewaySettings {
-            place: settings.place.clone(),
-            keys_good_ms: settings.keys_good_ms.map(|ms| ms - KEY_VALIDITY_MARGIN_MS),
-            weights_bound_ms: settings.weights_bound_ms,
-            budget: BudgetTerms {
-                ratio: settings.repeat_ratio,
-                slack: settings.repeat_slack,
-                window_ms: settings.repeat_window_ms,
+            data_centre: settings.place.clone(),
+            key_max_age_ms: settings.key_max_age_ms.map(|ms| ms - KEY_VALIDITY_MARGIN_MS),
+            outdated_weights_max_ms: settings.outdated_weights_max_ms,
+            budget: BudgetLimits {
+                ratio: settings.retry_budget_ratio,
+                slack: settings.retry_slack,
+                window_ms: settings.retry_budget_window_ms,
             },
         },
     ));
     let era_changes = gateway.metrics.era_changes.clone();
     let store = ObjectStore::new(settings.store, era_changes);
-    let config = ConfigFollower { gateway: gateway.clone(), apply_ms: settings.apply_ms };
+    let config = ConfigFollower {
+        gateway: gateway.clone(),
+        config_apply_ms: settings.config_apply_ms,
+    };
     tokio::spawn(follow(store.clone(), gateway.clone(), clock, config));
     let hosts =
         HostsFollower::new(gateway.clone(), settings.drain_ms, settings.heartbeat_ms);
     tokio::spawn(follow(store.clone(), gateway.clone(), clock, hosts));
-    let weights = NamedWeightsFollower::new(gateway.clone(), settings.settle_ms);
+    let weights = AnnouncedWeightsFollower::new(gateway.clone(), settings.settle_ms);
     tokio::spawn(follow(store.clone(), gateway.clone(), clock, weights));
-    tokio::spawn(keep_reach(store, gateway.clone()));
+    tokio::spawn(monitor_store_reachability(store, gateway.clone()));
     tokio::spawn(follow_sidecars(gateway.clone(), settings.peers_port));
     if let Some(lease_ms) = settings.lease_ms {
         let terms = OrderSettings {
-            own: settings.host.clone(),
+            host: settings.host.clone(),
             lease_ms,
             settle_ms: settings.settle_ms,
             sidecar_port: settings.peers_port,
-            weights_bound_ms: settings.weights_bound_ms,
+            outdated_weights_max_ms: settings.outdated_weights_max_ms,
         };
         let claims = Claims::new(settings.store);
-        tokio::spawn(order_unattended(claims, gateway.clone(), terms));
+        tokio::spawn(order_engines_without_sidecar(claims, gateway.clone(), terms));
     }
     tokio::spawn(follow_prompt_stores(gateway.clone()));
     let listener = bind("callers", callers).await?;
@@ -203,29 +206,29 @@
     Ok(server.stop(left).await)
 }
 
-async fn run_sidecar(settings: HostSettings) -> Result<bool, HostedError> {
-    let engine = settings.engine.ok_or(HostedError::NoAddress("the engine"))?;
+async fn run_sidecar(settings: HostSettings) -> Result<bool, PlatformRunError> {
+    let engine = settings.engine.ok_or(PlatformRunError::NoAddress("the engine"))?;
     let clock = BootClock::new();
-    let newest = Arc::new(Newest::default());
+    let newest = Arc::new(LatestWeights::default());
     let holder = settings.host.to_string();
     let cache = Arc::new(CacheView::new());
     // Bind first: from now on no entry sends orders to this engine.
     let feed = bind("peers", SocketAddr::new(settings.bind, settings.peers_port)).await?;
     let first_order_delay_ms =
-        settings.lease_ms.map_or(0, |lease_ms| lease_ms + ORDER_MS);
-    let first_order = Arc::new(FirstOrder::at(clock.now().plus_ms(first_order_delay_ms)));
+        settings.lease_ms.map_or(0, |lease_ms| lease_ms + MAX_ORDER_DELAY_MS);
+    let first_order = Arc::new(OrderGate::at(clock.now().plus_ms(first_order_delay_ms)));
     // Use a separate client, so that long polling for cache events does not delay the
     // health checks of the engine.
     tokio::spawn(cache.clone().follow(HttpEngine::new(engine)));
-    let steward = Steward::new(
+    let steward = EngineController::new(
         HttpEngine::new(engine),
         clock,
         holder,
-        settings.weights_bound_ms,
+        settings.outdated_weights_max_ms,
         newest.clone(),
         cache.clone(),
     );
-    let steward = Arc::new(steward.after(first_order.clone()));
+    let steward = Arc::new(steward.with_order_gate(first_order.clone()));
     let claims = Claims::new(settings.store);
     tokio::spawn(allow_first_order(claims, clock, steward.state(), first_order));
     let unreadable = steward.metrics.unreadable.clone();
@@ -249,7 +252,7 @@
 async fn serve_metrics<S: Status>(
     settings: &HostSettings,
     status: Arc<StatusPage<S>>,
-) -> Result<GracefulServer, HostedError> {
+) -> Result<GracefulServer, PlatformRunError> {
     let address = SocketAddr::new(settings.bind, METRICS_PORT);
     Ok(GracefulServer::start(bind("metrics", address).await?, OPERATOR_LIMITS, status))
 }
--- a/crates/bilberryd/src/lib.rs
+++ b/crates/bilberryd/src/lib.rs
@@ -6,8 +6,8 @@
 mod start;
 mod status;
 
-pub use hosted::HostedError;
-pub use hosted::run_hosted;
+pub use hosted::PlatformRunError;
+pub use hosted::run_on_platform;
 pub use process::Addresses;
 pub use process::Process;
 pub use signals::on_hangup;
--- a/crates/bilberryd/src/start.rs
+++ b/crates/bilberryd/src/start.rs
@@ -3,30 +3,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bilberry_config::RoleName;
+use bilberry_config::ProcessRole;
 use bilberry_config::Settings;
 use bilberry_config::UpstreamSettings;
 use bilberry_entry::Admin;
 use bilberry_entry::Entry;
 use bilberry_entry::EntryLimits;
-use bilberry_entry::Knowledge;
-use bilberry_entry::Probing;
+use bilberry_entry::SidecarProber;
+use bilberry_entry::UpstreamProber;
 use bilberry_node::GracefulServer;
 use bilberry_node::HttpLimits;
-use bilberry_node::Links;
 use bilberry_node::Node;
 use bilberry_node::Operations;
 use bilberry_node::PeerHandler;
+use bilberry_node::PeerPool;
 use bilberry_node::Readiness;
 use bilberry_node::StartError;
-use bilberry_node::SyncStart;
+use bilberry_node::SyncParameters;
 use bilberry_node::bind;
 use bilberry_node::register;
 use bilberry_node::serve_peers;
 use bilberry_node::start_sync;
 use bilberry_platform::HttpPlatform;
 use bilberry_sidecar::HttpEngine;
-use bilberry_sidecar::HttpPlain;
+use bilberry_sidecar::HttpPlainService;
 use bilberry_sidecar::Sidecar;
 use bilberry_wire::Member;
 use bilberry_wire::Role;
@@ -44,7 +44,7 @@
 struct Base {
     settings: Settings,
     node: Arc<Node>,
-    links: Links,
+    links: PeerPool,
     platform: HttpPlatform,
     peers: TcpListener,
     operations: TcpListener,
@@ -52,18 +52,18 @@
 
 /// Starts a process from its settings.
 pub async fn start(settings: Settings) -> Result<Process, StartError> {
-    start_with(settings, Probing::new).await
+    start_with(settings, SidecarProber::new).await
 }
 
 /// Starts a process whose entry uses the given source of upstream information.
-pub async fn start_with<K: Knowledge>(
+pub async fn start_with<K: UpstreamProber>(
     settings: Settings,
-    knowledge: impl FnOnce(Links) -> K,
+    knowledge: impl FnOnce(PeerPool) -> K,
 ) -> Result<Process, StartError> {
     let role = settings.role;
     let base = Base::new(settings).await?;
     match (role, base.settings.upstream.clone()) {
-        (RoleName::Sidecar, Some(upstream)) => base.start_sidecar(&upstream),
+        (ProcessRole::Sidecar, Some(upstream)) => base.start_sidecar(&upstream),
         _ => base.start_entry(knowledge).await,
     }
 }
@@ -78,7 +78,7 @@
         let platform = &settings.platform;
         let platform =
             HttpPlatform::new(platform.address, platform.call_ms, platform.watch_ms);
-        let links = Links::new(node.clone());
+        let links = PeerPool::new(node.clone());
         Ok(Self { settings, node, links, platform, peers, operations })
     }
 
@@ -88,17 +88,17 @@
             self.platform.clone(),
             upstream.name.clone(),
             HttpEngine::new(upstream.address),
-            HttpPlain::new(upstream.address),
+            HttpPlainService::new(upstream.address),
         );
-        sidecar.follow_upstream();
+        sidecar.start_tracking();
         let counter = sidecar.clone();
         let in_progress = Box::new(move || counter.in_progress());
         Ok(self.run(sidecar, ActiveWork::Sidecar { in_progress }, None, None))
     }
 
-    async fn start_entry<K: Knowledge>(
+    async fn start_entry<K: UpstreamProber>(
         self,
-        knowledge: impl FnOnce(Links) -> K,
+        knowledge: impl FnOnce(PeerPool) -> K,
     ) -> Result<Process, StartError> {
         let limits = &self.settings.limits;
         let entry = Entry::new(
@@ -108,10 +108,10 @@
             self.settings.parsed_place(),
             knowledge(self.links.clone()),
             EntryLimits {
-                body_bytes: limits.body_bytes,
-                body_ms: limits.body_ms,
-                unread_ms: limits.unread_ms,
-                probe_ms: limits.probe_ms,
+                max_body_bytes: limits.body_bytes,
+                body_timeout_ms: limits.body_ms,
+                write_timeout_ms: limits.unread_ms,
+                probe_timeout_ms: limits.probe_ms,
             },
         );
         let listen = &self.settings.listen;
@@ -168,7 +168,7 @@
         let operations = Arc::new(Operations::new(self.node.clone(), handler.clone()));
         let operations = GracefulServer::start(self.operations, http, operations);
         let peers = &self.settings.peers;
-        start_sync(SyncStart {
+        start_sync(SyncParameters {
             node: self.node.clone(),
             links: self.links,
             platform: self.platform.clone(),
@@ -192,8 +192,8 @@
 
 fn member(settings: &Settings, address: std::net::SocketAddr) -> Member {
     let role = match settings.role {
-        RoleName::Entry => Role::Entry,
-        RoleName::Sidecar => Role::Sidecar,
+        ProcessRole::Entry => Role::Entry,
+        ProcessRole::Sidecar => Role::Sidecar,
     };
     let upstream = settings.upstream.as_ref().map(|upstream| upstream.name.to_string());
     Member {
