--- a/crates/bilberryd/src/status.rs
+++ b/crates/bilberryd/src/status.rs
@@ -7,8 +7,8 @@
 use bilberry_core::BootClock;
 use bilberry_gateway::Gateway;
 use bilberry_node::HttpHandler;
-use bilberry_node::OutBody;
-use bilberry_steward::Steward;
+use bilberry_node::ResponseBody;
+use bilberry_steward::EngineController;
 use hyper::Request;
 use hyper::Response;
 use hyper::StatusCode;
@@ -33,7 +33,7 @@
     }
 }
 
-impl Status for Steward<HttpEngine, BootClock> {
+impl Status for EngineController<HttpEngine, BootClock> {
     fn is_ready(&self) -> bool {
         self.state().borrow().upstream.up
     }
@@ -50,13 +50,16 @@
 }
 
 impl<S: Status> HttpHandler for StatusPage<S> {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<OutBody> {
+    async fn handle(
+        self: Arc<Self>,
+        request: Request<Incoming>,
+    ) -> Response<ResponseBody> {
         let (status, text) = match request.uri().path() {
             "/metrics" => (StatusCode::OK, self.process.metrics()),
             _ if self.process.is_ready() => (StatusCode::OK, "ready\n".to_string()),
             _ => (StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_string()),
         };
-        let mut answer = Response::new(OutBody::whole(text));
+        let mut answer = Response::new(ResponseBody::full(text));
         *answer.status_mut() = status;
         answer
     }
--- a/tests/tests/at_most_once.rs
+++ b/tests/tests/at_most_once.rs
@@ -2,19 +2,19 @@
 
 use std::time::Duration;
 
-use bilberry_node::Links;
 use bilberry_node::Node;
+use bilberry_node::PeerPool;
 use bilberry_standins::PlatformFaults;
 use bilberry_standins::ServiceFaults;
 use bilberry_tests::Caller;
 use bilberry_tests::Fleet;
-use bilberry_tests::Plan;
+use bilberry_tests::FleetConfig;
 use bilberry_tests::Reply;
 use bilberry_tests::eventually;
 use bilberry_wire::Body;
 use bilberry_wire::Dispatch;
-use bilberry_wire::Kind;
 use bilberry_wire::Member;
+use bilberry_wire::RequestKind;
 
 /// Default idempotency key.
 const KEY: &str = "schedule-42";
@@ -22,7 +22,12 @@
 /// Starts two entries and two servers of one service, with fault proxies in front
 /// of the sidecars.
 async fn fleet() -> Fleet {
-    Fleet::start(Plan { entries: 2, proxied_sidecars: true, ..Plan::services(2) }).await
+    Fleet::start(FleetConfig {
+        entries: 2,
+        proxied_sidecars: true,
+        ..FleetConfig::services(2)
+    })
+    .await
 }
 
 /// Returns the run state that a response reports.
@@ -38,7 +43,7 @@
 }
 
 async fn call(caller: &Caller) -> Reply {
-    caller.call_once(KEY, "the schedule").await.expect("an answer")
+    caller.call_with_key(KEY, "the schedule").await.expect("an answer")
 }
 
 /// Sends the call with a deadline.
@@ -115,7 +120,7 @@
     let anna = fleet.caller(0, "anna");
     assert_eq!(call(&anna).await.status, 200);
     assert_eq!(call(&fleet.caller(0, "ben")).await.status, 200);
-    let other = anna.call_once(KEY, "another schedule").await.expect("an answer");
+    let other = anna.call_with_key(KEY, "another schedule").await.expect("an answer");
     assert_eq!((other.status, code(&other).as_str()), (422, "key_reused"));
     assert_eq!(fleet.runs_of(KEY).await, 2);
 }
@@ -221,13 +226,13 @@
     // the dispatch from their sockets; its deadline prevents them from running it.
     let fleet = fleet().await;
     for sidecar in &fleet.sidecars {
-        sidecar.freeze();
+        sidecar.suspend();
     }
     let lost = call_within(&fleet.caller(0, "anna"), 400).await.expect("an answer");
     assert_ne!(run_state(&lost), "ran");
     tokio::time::sleep(Duration::from_millis(100)).await;
     for sidecar in &fleet.sidecars {
-        sidecar.thaw();
+        sidecar.resume();
     }
     for at in 0..2 {
         fleet.wait_ready(&fleet.sidecars[at]).await;
@@ -251,14 +256,14 @@
     let caller = fleet.caller(0, "anna");
     let frozen = tokio::spawn(async move { call(&caller).await });
     wait_running(&fleet).await;
-    fleet.entries[0].freeze();
+    fleet.entries[0].suspend();
     eventually("the server has run the call", || async {
         (fleet.runs_of(KEY).await == 1).then_some(())
     })
     .await;
     let other = fleet.caller(1, "anna");
     assert_eq!(call(&other).await.status, 409);
-    fleet.entries[0].thaw();
+    fleet.entries[0].resume();
     assert_eq!(frozen.await.expect("the call ends").status, 200);
     assert_eq!(call(&other).await.status, 200);
     assert_eq!(fleet.runs_of(KEY).await, 1);
@@ -321,7 +326,7 @@
     let peer = fleet.sidecars[0].address("peers");
     let dispatch = Dispatch {
         attempt_token: 77,
-        kind: Kind::Plain.into(),
+        kind: RequestKind::Plain.into(),
         customer: "anna".to_string(),
         weight: 1,
         deadline_unix_ms: u64::MAX,
@@ -332,7 +337,7 @@
     };
     let mut calls = Vec::new();
     for _ in 0..3 {
-        let links = Links::new(Node::new(Member::default(), false));
+        let links = PeerPool::new(Node::new(Member::default(), false));
         for _ in 0..2 {
             let body = Body::Dispatch(dispatch.clone());
             calls.push(links.call(peer, body).await.expect("the sidecar is there"));
--- a/tests/tests/orders.rs
+++ b/tests/tests/orders.rs
@@ -2,15 +2,15 @@
 
 use bilberry_standins::EngineTraits;
 use bilberry_standins::expected_answer;
+use bilberry_tests::ChildProcess;
 use bilberry_tests::Fleet;
-use bilberry_tests::Plan;
-use bilberry_tests::Running;
+use bilberry_tests::FleetConfig;
 use bilberry_tests::eventually;
 use bilberry_tests::get;
 
 /// Returns the fleet configuration with `weights` for the model.
 fn piece(fleet: &Fleet, weights: &str) -> String {
-    Plan { weights: weights.to_string(), ..fleet.plan.clone() }.piece()
+    FleetConfig { weights: weights.to_string(), ..fleet.plan.clone() }.config_file()
 }
 
 async fn apply(fleet: &Fleet, weights: &str) -> Result<u64, String> {
@@ -33,23 +33,23 @@
 }
 
 /// Starts a weight store and a fleet whose engines load from it.
-async fn fleet_with_store(engines: usize, max_loads: usize) -> (Running, Fleet) {
-    let store = Running::start("bilberry-standin", vec!["weights".to_string()]);
+async fn fleet_with_store(engines: usize, max_loads: usize) -> (ChildProcess, Fleet) {
+    let store = ChildProcess::start("bilberry-standin", vec!["weights".to_string()]);
     let weight_store = Some(store.address("address"));
     let traits =
         EngineTraits { weight_store, token_us: 5_000, ..EngineTraits::default() };
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetConfig {
         entries: 2,
         engines: vec![traits; engines],
         pool: format!("max_loads = {max_loads}"),
         upstream: "checks_fencing = true".to_string(),
-        ..Plan::default()
+        ..FleetConfig::default()
     })
     .await;
     (store, fleet)
 }
 
-async fn max_concurrent_loads(store: &Running) -> u64 {
+async fn max_concurrent_loads(store: &ChildProcess) -> u64 {
     let address = store.address("address");
     let reply = get(format!("http://{address}/standin/counters")).await.expect("told");
     reply.json()["most_running"].as_u64().unwrap_or(0)
@@ -96,7 +96,7 @@
     }
     wait_weights(&fleet, "w2").await;
     for engine in 0..3 {
-        assert_eq!(fleet.engine(engine).await.violations, 0);
+        assert_eq!(fleet.engine_counters(engine).await.violations, 0);
     }
 }
 
@@ -109,10 +109,10 @@
         token_us: 20_000,
         ..EngineTraits::default()
     };
-    let mut fleet = Fleet::start(Plan {
+    let mut fleet = Fleet::start(FleetConfig {
         engines: vec![traits],
         upstream: format!("checks_fencing = {checks_fencing}"),
-        ..Plan::default()
+        ..FleetConfig::default()
     })
     .await;
     // A running request delays the load between the lease and the order.
@@ -126,11 +126,11 @@
     })
     .await;
     assert!(holder.is_some());
-    fleet.sidecars[0].freeze();
+    fleet.sidecars[0].suspend();
     let second = fleet.start_second_sidecar(0);
     assert_eq!(apply(&fleet, "w3").await, Ok(3));
     wait_weights(&fleet, "w3").await;
-    fleet.sidecars[0].thaw();
+    fleet.sidecars[0].resume();
     drop(stream);
     fleet.wait_revision(&fleet.sidecars[0], 3).await;
     fleet.sidecars.push(second);
@@ -145,7 +145,7 @@
     for checks_fencing in [true, false] {
         let fleet = fleet_after_lease_takeover(checks_fencing).await;
         wait_weights(&fleet, "w3").await;
-        let counters = fleet.engine(0).await;
+        let counters = fleet.engine_counters(0).await;
         assert_eq!(counters.stale_orders, 0, "fencing {checks_fencing}: {counters:?}");
         assert_eq!(counters.orders, 1, "fencing {checks_fencing}: {counters:?}");
     }
--- a/tests/tests/policy.rs
+++ b/tests/tests/policy.rs
@@ -7,7 +7,7 @@
 use bilberry_standins::EngineTraits;
 use bilberry_standins::expected_answer;
 use bilberry_tests::Fleet;
-use bilberry_tests::Plan;
+use bilberry_tests::FleetConfig;
 
 /// Returns a unique prompt of about 800 tokens.
 fn unique_prompt(at: usize) -> String {
@@ -23,7 +23,7 @@
 async fn cached_tokens(fleet: &Fleet) -> u64 {
     let mut tokens = 0;
     for at in 0..fleet.plan.engines.len() {
-        tokens += fleet.engine(at).await.cached_tokens;
+        tokens += fleet.engine_counters(at).await.cached_tokens;
     }
     tokens
 }
@@ -33,7 +33,7 @@
     // One of three engines fails every call immediately and so appears idle. The
     // circuit breaker of its sidecar opens after three failures, which probe answers
     // report. Every caller is served, and few calls are wasted.
-    let fleet = Fleet::start(Plan::engines(3)).await;
+    let fleet = Fleet::start(FleetConfig::engines(3)).await;
     let faults = EngineFaults { fail_fast: true, ..EngineFaults::default() };
     fleet.set_faults(&fleet.upstreams[0], &faults).await;
     let caller = fleet.caller(0, "anna");
@@ -53,14 +53,14 @@
 async fn a_slow_engine_gets_less_work() {
     // One of three engines is healthy but thirty times slower. Its sidecar estimates
     // the time per token, and the scores route requests to other engines.
-    let fleet = Fleet::start(Plan::engines(3)).await;
+    let fleet = Fleet::start(FleetConfig::engines(3)).await;
     let faults = EngineFaults { slowness: 30.0, ..EngineFaults::default() };
     fleet.set_faults(&fleet.upstreams[0], &faults).await;
     let caller = fleet.caller(0, "anna");
     for at in 0..60 {
         assert!(caller.complete(&unique_prompt(at), 1).await.done);
     }
-    let slow = fleet.engine(0).await.runs;
+    let slow = fleet.engine_counters(0).await.runs;
     assert!(slow <= 6, "the slow engine got {slow} of 60 requests");
 }
 
@@ -70,15 +70,17 @@
     // after four seconds without data, the stream resumes elsewhere, and missing
     // reports exclude the engine from new requests.
     let traits = EngineTraits { token_us: 10_000, ..EngineTraits::default() };
-    let fleet = Fleet::start(Plan { engines: vec![traits; 2], ..Plan::default() }).await;
+    let fleet =
+        Fleet::start(FleetConfig { engines: vec![traits; 2], ..FleetConfig::default() })
+            .await;
     let caller = fleet.caller(0, "anna");
     let mut stream = caller.start("a long answer", 50).await;
     stream.read_tokens(3).await;
     let mut at = 0;
-    while fleet.engine(at).await.running == 0 {
+    while fleet.engine_counters(at).await.running == 0 {
         at += 1;
     }
-    fleet.upstreams[at].freeze();
+    fleet.upstreams[at].suspend();
     let answer = stream.finish().await;
     assert_eq!(answer.text, expected_answer("a long answer", "w1", 50), "{answer:?}");
     let before = upstream_calls(&fleet).await;
@@ -86,7 +88,7 @@
         assert!(caller.complete(&unique_prompt(at), 1).await.done);
     }
     assert_eq!(upstream_calls(&fleet).await, before + 10.0);
-    fleet.upstreams[at].thaw();
+    fleet.upstreams[at].resume();
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -96,10 +98,10 @@
     // retried on the other engine: the retry budget is a tenth of the traffic.
     let traits =
         EngineTraits { token_us: 50_000, max_running: 1, ..EngineTraits::default() };
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetConfig {
         engines: vec![traits; 2],
         upstream: "max_running = 1\nqueue_limit = 1".to_string(),
-        ..Plan::default()
+        ..FleetConfig::default()
     })
     .await;
     let running: Vec<_> = (0..40)
@@ -134,7 +136,9 @@
     // two slots; all of them must be queued. Guards against an inverted deadline
     // comparison that rejected every request that had to wait.
     let traits = EngineTraits { max_running: 2, ..EngineTraits::default() };
-    let fleet = Fleet::start(Plan { engines: vec![traits], ..Plan::default() }).await;
+    let fleet =
+        Fleet::start(FleetConfig { engines: vec![traits], ..FleetConfig::default() })
+            .await;
     let running: Vec<_> = (0..12)
         .map(|at| {
             let caller = fleet.caller(0, ["anna", "ben"][at % 2]);
@@ -159,7 +163,8 @@
     // a second time.
     let mut engines = vec![EngineTraits::default(); 6];
     engines[0].prefill_us_per_token = 25.0;
-    let fleet = Fleet::start(Plan { entries: 3, engines, ..Plan::default() }).await;
+    let fleet =
+        Fleet::start(FleetConfig { entries: 3, engines, ..FleetConfig::default() }).await;
     let prompts = 24;
     for at in 0..prompts {
         let caller = fleet.caller(at % 3, "anna");
@@ -183,14 +188,16 @@
     // it resumes, the answers are in its sockets but the probe timeout has expired
     // too. If it treated all probed sidecars as silent, the whole prompt would be
     // computed again.
-    let fleet = Fleet::start(Plan { proxied_sidecars: true, ..Plan::engines(6) }).await;
+    let fleet =
+        Fleet::start(FleetConfig { proxied_sidecars: true, ..FleetConfig::engines(6) })
+            .await;
     let caller = fleet.caller(0, "anna");
     let prompts = 24;
     for at in 0..prompts {
         assert!(caller.complete(&unique_prompt(at), 2).await.done);
     }
-    for link in &fleet.links {
-        link.delay_answers(5).await;
+    for link in &fleet.sidecar_proxies {
+        link.delay_responses(5).await;
     }
     let mut recomputed = Vec::new();
     for at in 0..prompts {
@@ -199,9 +206,9 @@
         let asked =
             tokio::spawn(async move { asking.complete(&unique_prompt(at), 2).await });
         tokio::time::sleep(Duration::from_millis(3)).await;
-        fleet.entries[0].freeze();
+        fleet.entries[0].suspend();
         tokio::time::sleep(Duration::from_millis(60)).await;
-        fleet.entries[0].thaw();
+        fleet.entries[0].resume();
         assert!(asked.await.expect("a caller ends").done);
         if cached_tokens(&fleet).await == before {
             recomputed.push(at);
