--- a/crates/bilberry-core/src/announced_weights.rs
+++ b/crates/bilberry-core/src/announced_weights.rs
@@ -25,8 +25,8 @@
     /// Records a version that may have been announced as early as `since`; returns
     /// whether it is new.
     ///
-    /// Only the first report of a version sets its time, because later reports say
-    /// nothing about when it was announced. Versions only increase, so a version was
+    /// Only the first report of a version sets its time, because later reports do not
+    /// show when it was announced. Versions only increase, so a version was
     /// announced before any newer one and after any older one.
     pub fn record(&mut self, version: u64, since: UnixMs) -> bool {
         let index = self.versions.partition_point(|&(known, _)| known < version);
--- a/crates/bilberry-core/src/chain.rs
+++ b/crates/bilberry-core/src/chain.rs
@@ -109,7 +109,7 @@
 ///
 /// The distances from the chain's end grow geometrically, which keeps probes
 /// small. The cost of a request is the uncached part at its end; it is known to
-/// within a third, whether that is only the last question or the whole prompt.
+/// within a third, whether that is only the last message or the whole prompt.
 pub fn sample_depths(len: usize) -> Vec<usize> {
     let mut depths = Vec::new();
     let mut missing = 0;
--- a/crates/bilberry-core/src/crash_ledger.rs
+++ b/crates/bilberry-core/src/crash_ledger.rs
@@ -256,8 +256,8 @@
     ///
     /// Otherwise a request that ran on the servers which another one crashed would be
     /// rejected too, and could never complete to show that it is harmless. If a request
-    /// is blamed wrongly, it crashes no further servers, while the actual cause goes on
-    /// to accumulate more crashes than it, or `QUARANTINE_AFTER` unexplained ones.
+    /// is blamed wrongly, it crashes no further servers, while the actual cause
+    /// accumulates more crashes than it, or `QUARANTINE_AFTER` unexplained ones.
     fn assign_blame(&mut self) {
         let requests = &self.requests;
         self.candidates.retain(|request| requests.contains_key(request));
--- a/crates/bilberry-core/src/entry_count.rs
+++ b/crates/bilberry-core/src/entry_count.rs
@@ -35,7 +35,7 @@
 
     /// Processes the count that one sidecar reports.
     ///
-    /// The highest count wins, because a sidecar may not reach all entries.
+    /// The highest count wins, because a sidecar may not be connected to all entries.
     pub fn record_report(&mut self, now: UnixMs, reported: usize) {
         let is_lower = self.current.is_some_and(|current| reported < current);
         let gap_exceeded = now.ms_since(self.reported_at) >= MAX_REPORT_GAP_MS;
--- a/crates/bilberry-core/src/expired_entries.rs
+++ b/crates/bilberry-core/src/expired_entries.rs
@@ -61,9 +61,9 @@
         }
     }
 
-    /// Records that a call to the store made at `asked_at` got no response.
-    pub fn record_failed_call(&mut self, asked_at: UnixMs) {
-        self.outage_began_at.get_or_insert(asked_at);
+    /// Records that a call to the store made at `requested_at` got no response.
+    pub fn record_failed_call(&mut self, requested_at: UnixMs) {
+        self.outage_began_at.get_or_insert(requested_at);
         self.failed_calls += 1;
     }
 
--- a/crates/bilberry-core/src/freshness.rs
+++ b/crates/bilberry-core/src/freshness.rs
@@ -6,9 +6,9 @@
 
 /// Tracks when data was last confirmed to be current.
 ///
-/// A response says nothing about the time of its arrival, because the platform may have
-/// changed in between. It confirms the state at the time of the request or, for a watch
-/// that ended without changes, at the end of its wait.
+/// A response does not confirm the state at the time of its arrival, because the platform
+/// may have changed in between. It confirms the state at the time of the request or, for
+/// a watch that ended without changes, at the end of its wait.
 #[derive(Debug, Copy, Clone, Default, PartialEq, Eq)]
 pub struct Freshness {
     confirmed_at: UnixMs,
@@ -30,14 +30,14 @@
 
 impl Freshness {
     /// Records the response to a plain read, or a response with changes, for a request
-    /// made at `asked_at`.
-    pub fn confirm_read(&mut self, asked_at: UnixMs) {
+    /// made at `requested_at`.
+    pub fn confirm_read(&mut self, requested_at: UnixMs) {
         if let Some(restore) = &mut self.restore {
-            restore.record_response(asked_at);
+            restore.record_response(requested_at);
         }
-        if !self.is_unverified_at(asked_at) {
+        if !self.is_unverified_at(requested_at) {
             self.restore = None;
-            self.confirmed_at = self.confirmed_at.max(asked_at);
+            self.confirmed_at = self.confirmed_at.max(requested_at);
         }
     }
 
@@ -45,8 +45,8 @@
     ///
     /// The platform responds at the end of the wait unless it cuts the watch short, so
     /// the earlier of the two times is used.
-    pub fn confirm_quiet(&mut self, asked_at: UnixMs, wait_ms: u64, now: UnixMs) {
-        self.confirm_read(asked_at.plus_ms(wait_ms).min(now));
+    pub fn confirm_quiet(&mut self, requested_at: UnixMs, wait_ms: u64, now: UnixMs) {
+        self.confirm_read(requested_at.plus_ms(wait_ms).min(now));
     }
 
     /// Records that the store was restored from an older backup, as detected at `now`.
@@ -118,10 +118,10 @@
 }
 
 impl UnverifiedRestore {
-    /// Records a response to a call made at `asked_at`.
-    fn record_response(&mut self, asked_at: UnixMs) {
+    /// Records a response to a call made at `requested_at`.
+    fn record_response(&mut self, requested_at: UnixMs) {
         if std::mem::take(&mut self.failed_calls) >= MIN_OUTAGE_CALLS {
-            self.until = self.until.max(asked_at.plus_ms(RECOVERY_GRACE_MS));
+            self.until = self.until.max(requested_at.plus_ms(RECOVERY_GRACE_MS));
         }
     }
 }
--- a/crates/bilberry-core/src/link_budget.rs
+++ b/crates/bilberry-core/src/link_budget.rs
@@ -1,6 +1,6 @@
 //! An entry's share of the bandwidth of a link that all entries use.
 //!
-//! When the active prompts fill the prompt store, the demand on its single link can
+//! When the active prompts fill the prompt store, the load on its single link can
 //! exceed the bandwidth, and each transfer queues behind all earlier ones. Callers then
 //! get their first event after half a second, while prefilling the same prompt takes a
 //! tenth of that.
--- a/crates/bilberry-core/src/order_lease.rs
+++ b/crates/bilberry-core/src/order_lease.rs
@@ -206,18 +206,18 @@
         self.retry_at = now.plus_ms(RETRY_MS);
     }
 
-    /// Processes the outcome of a write that was requested at `asked_at`.
+    /// Processes the outcome of a write that was requested at `requested_at`.
     pub fn handle_write(
         &mut self,
         write: ClaimWrite,
-        asked_at: UnixMs,
+        requested_at: UnixMs,
         outcome: WriteOutcome,
         now: UnixMs,
     ) {
         match outcome {
             WriteOutcome::Written(seen) => {
                 self.record_tenure(&seen);
-                self.handle_written(write.claim, seen, asked_at);
+                self.handle_written(write.claim, seen, requested_at);
             }
             WriteOutcome::Conflict(seen) => {
                 self.record_tenure(&seen);
@@ -233,7 +233,12 @@
         }
     }
 
-    fn handle_written(&mut self, claim: OrderClaim, seen: SeenClaim, asked_at: UnixMs) {
+    fn handle_written(
+        &mut self,
+        claim: OrderClaim,
+        seen: SeenClaim,
+        requested_at: UnixMs,
+    ) {
         let known_era = match &self.state {
             State::Holding(held) => Some(held.seen.era),
             State::Contending { seen, .. } => Some(seen.era),
@@ -249,8 +254,8 @@
         self.state = State::Holding(HeldClaim {
             seen,
             claim,
-            deadline: asked_at.plus_ms(self.terms.lease_ms),
-            renew_at: asked_at.plus_ms(renew_ms),
+            deadline: requested_at.plus_ms(self.terms.lease_ms),
+            renew_at: requested_at.plus_ms(renew_ms),
             unconfirmed: None,
         });
     }
--- a/crates/bilberry-core/src/placement.rs
+++ b/crates/bilberry-core/src/placement.rs
@@ -160,7 +160,7 @@
     }
 }
 
-/// Returns the index of the best offer; `None` if no offer has capacity.
+/// Returns the index of the best candidate; `None` if no candidate has capacity.
 pub fn choose_upstream(
     request: &PlacementRequest,
     candidates: &[PlacementCandidate],
--- a/crates/bilberry-core/src/prefills.rs
+++ b/crates/bilberry-core/src/prefills.rs
@@ -12,7 +12,7 @@
 
 /// The longest wait for another engine's prefill, in multiples of the own prefill time.
 ///
-/// An engine with a long backlog may not reach the part for a long time.
+/// An engine with a long backlog may not start the part's prefill for a long time.
 const MAX_WAIT_PREFILLS: u64 = 2;
 
 /// The divisor of a request's latency target that limits its wait for parts.
--- a/crates/bilberry-core/src/retry.rs
+++ b/crates/bilberry-core/src/retry.rs
@@ -9,7 +9,7 @@
 /// The maximum balance, in thousandths of a retry.
 const MAX_BALANCE_MILLI: u64 = 10_000;
 
-/// The shortest time after which a refused caller is asked to retry.
+/// The shortest retry delay that a refused caller is advised.
 const MIN_RETRY_AFTER_MS: u64 = 1_000;
 
 /// A budget that limits retries to a tenth of the traffic.
--- a/crates/bilberry-core/src/routing.rs
+++ b/crates/bilberry-core/src/routing.rs
@@ -115,7 +115,7 @@
 ) -> Vec<ProbeTarget> {
     let mut targets: Vec<ProbeTarget> = Vec::with_capacity(limit);
     let mut add = |at: usize, is_ranked: bool, max_len: usize| {
-        if targets.len() < max_len && targets.iter().all(|seat| seat.index != at) {
+        if targets.len() < max_len && targets.iter().all(|target| target.index != at) {
             targets.push(ProbeTarget { index: at, is_ranked });
         }
     };
--- a/crates/bilberry-core/src/shared_watch.rs
+++ b/crates/bilberry-core/src/shared_watch.rs
@@ -115,11 +115,11 @@
 
 /// Returns the time for which a reply is valid, by the clock of the requester.
 ///
-/// A request arrives no earlier than it is sent at `asked_at`, so `confirmed_ms` after
-/// `asked_at` is never later than the actual time, regardless of network delays and clock
-/// offset. The only assumption is that both clocks run at the same rate.
-pub fn confirmed_at(asked_at: UnixMs, confirmed_ms: i64, now: UnixMs) -> UnixMs {
-    UnixMs(asked_at.0.saturating_add_signed(confirmed_ms)).min(now)
+/// A request arrives no earlier than it is sent at `requested_at`, so `confirmed_ms`
+/// after `requested_at` is never later than the actual time, regardless of network delays
+/// and clock offset. The only assumption is that both clocks run at the same rate.
+pub fn confirmed_at(requested_at: UnixMs, confirmed_ms: i64, now: UnixMs) -> UnixMs {
+    UnixMs(requested_at.0.saturating_add_signed(confirmed_ms)).min(now)
 }
 
 fn signed_ms(at: UnixMs, since: UnixMs) -> i64 {
