--- a/crates/bilberry-gateway/src/backup.rs
+++ b/crates/bilberry-gateway/src/backup.rs
@@ -45,13 +45,14 @@
         let weights = main.weights(model, now);
         let peers = self.upstreams.of(&context.pool.name);
         let candidates = peers.iter().filter_map(|peer| {
-            let offer = peer.offer(now, &main.data_centre, Some(engine));
-            let fits = offer.free_tokens >= context.call.memory_tokens();
+            let candidate = peer.offer(now, &main.data_centre, Some(engine));
+            let fits = candidate.free_tokens >= context.call.memory_tokens();
             let suits = peer.id != main.id && peer.weights(model, now) == weights;
-            (suits && fits && offer.usable).then_some((offer, peer))
+            (suits && fits && candidate.usable).then_some((candidate, peer))
+        });
+        let best = candidates.max_by_key(|(candidate, _)| {
+            (candidate.same_data_centre, candidate.free_tokens)
         });
-        let best = candidates
-            .max_by_key(|(offer, _)| (offer.same_data_centre, offer.free_tokens));
         best.map(|(_, peer)| peer.clone())
     }
 
@@ -116,10 +117,10 @@
         let model = context.call.model.as_deref().unwrap_or_default();
         let now = self.clock.now();
         let version = backup.weights(model, now);
-        let barred =
+        let is_excluded =
             self.classify_weights(version, model, now) == WeightsStatus::Excluded;
         let obstacle = match () {
-            _ if barred => Some("the backup engine's weights are outdated"),
+            _ if is_excluded => Some("the backup engine's weights are outdated"),
             _ if backup.is_leaving() => {
                 Some("the backup engine is shutting down or has stopped")
             }
--- a/crates/bilberry-gateway/src/call.rs
+++ b/crates/bilberry-gateway/src/call.rs
@@ -125,7 +125,7 @@
     Stopped,
     /// There is no such run.
     NoSuchRun,
-    /// The reply does not tell the state of the run.
+    /// The reply does not contain the state of the run.
     Unknown,
 }
 
@@ -188,7 +188,7 @@
         upstream: &str,
     ) -> ResponseClass;
 
-    /// Builds the request that asks an upstream to stop a run.
+    /// Builds the request to an upstream to stop a run.
     fn stop_call(&self, stop: &StopCall) -> Request<Full<Bytes>>;
 
     /// Decodes the response to a stop request.
--- a/crates/bilberry-gateway/src/connections.rs
+++ b/crates/bilberry-gateway/src/connections.rs
@@ -27,7 +27,7 @@
 /// The timeout for establishing a connection.
 ///
 /// About a hundred round trips within a region. A host without power never answers, and
-/// the request must still reach another host within its target latency.
+/// the request must still get to another host within its target latency.
 const CONNECT_TIMEOUT_MS: u64 = 150;
 
 /// How long sent data may stay unacknowledged before the connection is closed.
@@ -69,7 +69,7 @@
     /// The connection attempt timed out, or there is no route to the host.
     #[error("host unreachable or connection timed out: {0}")]
     Unreachable(String),
-    /// The attempt failed for a reason that says nothing about the state of the host.
+    /// The attempt failed for a reason unrelated to the state of the host.
     #[error("could not connect: {0}")]
     Failed(String),
 }
@@ -103,7 +103,7 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // Closing the connection tells the upstream that the request is cancelled.
+        // Closing the connection cancels the request at the upstream.
         self.driver.abort();
     }
 }
@@ -223,8 +223,8 @@
 /// Enables TCP keepalive, so that a connection to a lost host fails while it is idle.
 ///
 /// A connection that waits for a stream's next event sends nothing. Without probes it
-/// would stay open forever if the host lost power, and could not be told from one to a
-/// host that is suspended.
+/// would stay open forever if the host lost power, and would look like one to a
+/// suspended host.
 fn enable_keepalive(stream: &TcpStream) {
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_INTERVAL)
--- a/crates/bilberry-gateway/src/crashes.rs
+++ b/crates/bilberry-gateway/src/crashes.rs
@@ -2,8 +2,8 @@
 //!
 //! A connection may end early for many reasons. A run counts as in progress at a crash
 //! only once the crash is confirmed by the upstream's sidecar, by a later start, or,
-//! where no sidecar reports, by a refused connection. Reports reach the other entries
-//! through a few sidecars, which also replay them to entries that connect later.
+//! where no sidecar reports, by a refused connection. Reports are relayed to the other
+//! entries by a few sidecars, which also replay them to entries that connect later.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/bilberry-gateway/src/feeds.rs
+++ b/crates/bilberry-gateway/src/feeds.rs
@@ -152,7 +152,7 @@
     set_tcp_options(&stream);
     let mut framed = Framed::new(stream, FrameCodec::new());
     let (queue, mut queued) = mpsc::channel(NOTICE_QUEUE_CAPACITY);
-    let (questions, mut queued_questions) = mpsc::channel(QUESTION_QUEUE_CAPACITY);
+    let (requests, mut queued_requests) = mpsc::channel(QUESTION_QUEUE_CAPACITY);
     let mut pending = PendingQuestions::default();
     let mut registration = None;
     let mut last_notice = None;
@@ -198,8 +198,8 @@
                 framed.send(Frame { body, ..Frame::default() }).await?;
                 continue;
             }
-            Some(question) = queued_questions.recv() => {
-                framed.send(pending.register(question)).await?;
+            Some(request) = queued_requests.recv() => {
+                framed.send(pending.register(request)).await?;
                 continue;
             }
         };
@@ -220,8 +220,8 @@
                 gateway.merge_crash_notice(notice);
                 None
             }
-            Some(Body::WatchResponse(answer)) => {
-                pending.resolve(call, answer);
+            Some(Body::WatchResponse(response)) => {
+                pending.resolve(call, response);
                 None
             }
             _ => None,
@@ -233,13 +233,13 @@
             }
             gateway.apply_sidecar_state(id, state);
             registration.get_or_insert_with(|| {
-                gateway.hubs.register(address, &upstream, questions.clone())
+                gateway.hubs.register(address, &upstream, requests.clone())
             });
         }
     }
 }
 
-/// The questions that a sidecar has not answered yet, by call id.
+/// The watch requests that a sidecar has not answered yet, by call id.
 #[derive(Debug, Default)]
 struct PendingQuestions {
     last_call: u64,
@@ -247,20 +247,20 @@
 }
 
 impl PendingQuestions {
-    /// Registers a question and returns the frame that sends it.
-    fn register(&mut self, question: HubQuestion) -> Frame {
-        // Questions whose senders have given up are dropped.
+    /// Registers a request and returns the frame that sends it.
+    fn register(&mut self, request: HubQuestion) -> Frame {
+        // Requests whose senders have given up are dropped.
         self.replies.retain(|_, reply| !reply.is_closed());
         self.last_call += 1;
-        self.replies.insert(self.last_call, question.reply);
-        let body = Some(Body::WatchRequest(question.ask));
+        self.replies.insert(self.last_call, request.reply);
+        let body = Some(Body::WatchRequest(request.ask));
         Frame { call: self.last_call, body, ..Frame::default() }
     }
 
-    /// Passes an answer to the sender of its question.
-    fn resolve(&mut self, call: u64, answer: WatchResponse) {
+    /// Passes a response to the sender of its request.
+    fn resolve(&mut self, call: u64, response: WatchResponse) {
         if let Some(reply) = self.replies.remove(&call) {
-            let _ = reply.send(answer);
+            let _ = reply.send(response);
         }
     }
 }
--- a/crates/bilberry-gateway/src/forward.rs
+++ b/crates/bilberry-gateway/src/forward.rs
@@ -37,7 +37,7 @@
 /// The timeout for the start of a stream, as a multiple of its target latency.
 ///
 /// A stream's first event comes after the prefill of its prompt, so silence within the
-/// target latency says nothing about the upstream.
+/// target latency is no sign of a failure.
 const STREAM_TIMEOUT_FACTOR: f64 = 2.0;
 
 /// The same multiple for an engine that its sidecar reports as alive.
--- a/crates/bilberry-gateway/src/gateway.rs
+++ b/crates/bilberry-gateway/src/gateway.rs
@@ -158,8 +158,8 @@
     }
 
     /// Records that the platform store answered a request that this entry sent directly.
-    pub fn record_store_contact(&self, asked_at: UnixMs) {
-        self.store_freshness.lock().unwrap().confirm_read(asked_at);
+    pub fn record_store_contact(&self, requested_at: UnixMs) {
+        self.store_freshness.lock().unwrap().confirm_read(requested_at);
     }
 
     /// Reports whether the store answered this entry directly within the last
@@ -170,7 +170,7 @@
 
     /// Reports whether API keys were confirmed recently enough to be accepted.
     ///
-    /// A key may have been revoked while this entry can't reach the store. Once the bound
+    /// A key may have been revoked while the store is unreachable. Once the bound
     /// has passed, the entry refuses all callers that need a key.
     pub fn are_keys_confirmed(&self) -> bool {
         self.settings.key_max_age_ms.is_none_or(|good_ms| self.policy_is_fresh(good_ms))
@@ -198,8 +198,9 @@
     /// configuration. Were all of them unready, callers would have no entry left although
     /// their keys are still valid at each.
     fn is_fresh_enough(&self, within_ms: u64) -> bool {
-        let has_doubt = self.policy_freshness.lock().unwrap().has_unverified_restore();
-        match has_doubt {
+        let is_unverified =
+            self.policy_freshness.lock().unwrap().has_unverified_restore();
+        match is_unverified {
             true => self.are_keys_confirmed(),
             false => self.policy_is_fresh(within_ms),
         }
--- a/crates/bilberry-gateway/src/hubs.rs
+++ b/crates/bilberry-gateway/src/hubs.rs
@@ -19,11 +19,11 @@
 use crate::Gateway;
 use crate::Upstream;
 
-/// The capacity of the queue of questions to one sidecar; an entry watches three kinds of
-/// objects.
+/// The capacity of the queue of watch requests to one sidecar; an entry watches three
+/// kinds of objects.
 pub(crate) const QUESTION_QUEUE_CAPACITY: usize = 8;
 
-/// The connected sidecars, each with its queue of questions.
+/// The connected sidecars, each with its queue of watch requests.
 #[derive(Debug, Default)]
 pub struct Hubs {
     links: Mutex<HashMap<SocketAddr, HubLink>>,
@@ -36,7 +36,7 @@
     questions: mpsc::Sender<HubQuestion>,
 }
 
-/// A question to a sidecar and the channel for its answer.
+/// A watch request to a sidecar and the channel for its response.
 #[derive(Debug)]
 pub(crate) struct HubQuestion {
     pub(crate) ask: WatchRequest,
@@ -49,12 +49,12 @@
     address: SocketAddr,
 }
 
-/// The outcome of a question to a hub.
+/// The outcome of a watch request to a hub.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HubReply {
-    /// The hub's answer.
+    /// The hub's response.
     Answer(WatchResponse),
-    /// The hub did not answer in time, or its connection was lost.
+    /// The hub did not respond in time, or its connection was lost.
     Silent,
     /// No sidecar is chosen to watch for this entry.
     NoHub,
@@ -66,19 +66,26 @@
         &self,
         address: SocketAddr,
         upstream: &Upstream,
-        questions: mpsc::Sender<HubQuestion>,
+        requests: mpsc::Sender<HubQuestion>,
     ) -> HubRegistration<'_> {
         let candidate =
             HubCandidate { place: upstream.data_centre.clone(), seed: upstream.seed };
-        self.links.lock().unwrap().insert(address, HubLink { candidate, questions });
+        self.links
+            .lock()
+            .unwrap()
+            .insert(address, HubLink { candidate, questions: requests });
         HubRegistration { hubs: self, address }
     }
 
-    fn choose(&self, place: &Name, entries: usize) -> Option<mpsc::Sender<HubQuestion>> {
+    fn choose(
+        &self,
+        data_centre: &Name,
+        entries: usize,
+    ) -> Option<mpsc::Sender<HubQuestion>> {
         let links = self.links.lock().unwrap();
-        let (candidates, questions): (Vec<_>, Vec<_>) =
+        let (candidates, queues): (Vec<_>, Vec<_>) =
             links.values().map(|link| (link.candidate.clone(), &link.questions)).unzip();
-        choose_hub(place, &candidates, entries).map(|at| questions[at].clone())
+        choose_hub(data_centre, &candidates, entries).map(|at| queues[at].clone())
     }
 }
 
@@ -89,20 +96,19 @@
 }
 
 impl<D: Dialect, C: Clock> Gateway<D, C> {
-    /// Sends a question to the sidecar that watches the store for this data centre's
+    /// Sends a request to the sidecar that watches the store for this data centre's
     /// entries.
-    pub async fn ask_hub(&self, ask: WatchRequest, until: UnixMs) -> HubReply {
+    pub async fn ask_hub(&self, request: WatchRequest, until: UnixMs) -> HubReply {
         let entries = self.entries.lock().unwrap().current().unwrap_or_default();
-        let Some(questions) = self.hubs.choose(&self.settings.data_centre, entries)
-        else {
+        let Some(queue) = self.hubs.choose(&self.settings.data_centre, entries) else {
             return HubReply::NoHub;
         };
-        let (reply, answered) = oneshot::channel();
-        if questions.try_send(HubQuestion { ask, reply }).is_err() {
+        let (reply, response) = oneshot::channel();
+        if queue.try_send(HubQuestion { ask: request, reply }).is_err() {
             return HubReply::Silent;
         }
-        match timeout(until.remaining(self.clock.now()), answered).await {
-            Ok(Ok(answer)) => HubReply::Answer(answer),
+        match timeout(until.remaining(self.clock.now()), response).await {
+            Ok(Ok(response)) => HubReply::Answer(response),
             _ => HubReply::Silent,
         }
     }
--- a/crates/bilberry-gateway/src/metrics.rs
+++ b/crates/bilberry-gateway/src/metrics.rs
@@ -49,7 +49,7 @@
     pub config_version: Gauge,
     /// Watch requests for changes of the platform's store, by recipient and outcome.
     pub watches: Family<OutcomeLabel, Counter>,
-    /// Engines on hosts where no sidecar has ever been reached.
+    /// Engines on hosts where no connection to a sidecar has ever succeeded.
     pub engines_without_sidecar: Gauge,
     /// Whether this entry orders the weights of those engines, 0 or 1.
     pub holds_orders: Gauge,
--- a/crates/bilberry-gateway/src/placement.rs
+++ b/crates/bilberry-gateway/src/placement.rs
@@ -44,10 +44,11 @@
             let mut retry_ms = PLACEMENT_RETRY_MS;
             let mut waits_for_parts = false;
             if let Some(choice) = self.choose(context) {
-                let Some(read_by) = self.prefill_wait_deadline(context, &choice) else {
+                let Some(wait_until) = self.prefill_wait_deadline(context, &choice)
+                else {
                     break Ok(self.take_seat(context, choice));
                 };
-                retry_ms = read_by.ms_since(checked_at);
+                retry_ms = wait_until.ms_since(checked_at);
                 waits_for_parts = true;
             }
             let now = self.clock.now();
@@ -74,7 +75,7 @@
     }
 
     /// Returns when the first upstream of a service ends its pause, if all of them have
-    /// asked for one; upstreams that are shutting down are ignored.
+    /// requested one; upstreams that are shutting down are ignored.
     pub(crate) fn all_paused_until(&self, pool: &Name, now: UnixMs) -> Option<UnixMs> {
         let upstreams = self.upstreams.of(pool);
         let not_leaving = upstreams.iter().filter(|upstream| !upstream.is_leaving());
@@ -98,12 +99,12 @@
         let Some(model) = &context.call.model else { return false };
         let upstreams = self.upstreams.of(&context.pool.name);
         let mut not_leaving = upstreams.iter().filter(|upstream| !upstream.is_leaving());
-        let is_barred = |upstream: &Arc<Upstream>| {
+        let is_excluded = |upstream: &Arc<Upstream>| {
             let version = upstream.weights(model, now);
             self.classify_weights(version, model, now) == WeightsStatus::Excluded
                 && !upstream.may_load_by(until, now)
         };
-        not_leaving.next().is_some_and(is_barred) && not_leaving.all(is_barred)
+        not_leaving.next().is_some_and(is_excluded) && not_leaving.all(is_excluded)
     }
 
     /// Classifies whether an upstream with this version of a model's weights may still
@@ -130,40 +131,41 @@
         let model = context.call.model.clone().unwrap_or_default();
         let needs_weights = context.call.model.is_some() && context.pool.engine.is_some();
         let can_fetch = self.stores.any_reachable();
-        let demand = context.demand(can_fetch, self.speed.token_us(&context.pool.name));
+        let request = context.demand(can_fetch, self.speed.token_us(&context.pool.name));
         let mut versions = Vec::with_capacity(upstreams.len());
-        let mut offers: Vec<PlacementCandidate> = upstreams
+        let mut candidates: Vec<PlacementCandidate> = upstreams
             .iter()
             .map(|upstream| {
-                let mut offer =
+                let mut candidate =
                     upstream.offer(now, &self.settings.data_centre, context.pool.engine);
-                offer.usable &= !context.has_tried(upstream);
+                candidate.usable &= !context.has_tried(upstream);
                 let version = upstream.weights(&model, now);
-                offer.weights = self.classify_weights(version, &model, now);
+                candidate.weights = self.classify_weights(version, &model, now);
                 match version {
                     Some(version) => {
-                        offer.cached_tokens =
+                        candidate.cached_tokens =
                             context.keys(version).cached_tokens(upstream, now);
                     }
                     // Without a version there is no salt, and the cached prompt would be
                     // shared between all customers and all versions.
-                    None => offer.usable &= !needs_weights,
+                    None => candidate.usable &= !needs_weights,
                 }
                 versions.push(version);
-                offer
+                candidate
             })
             .collect();
         if self.is_suspect(context) {
-            keep_least_loaded(&mut offers);
+            keep_least_loaded(&mut candidates);
         }
-        let index = choose_upstream(&demand, &offers)?;
+        let index = choose_upstream(&request, &candidates)?;
         let version = versions[index].filter(|_| context.call.model.is_some());
         let same_weights =
-            offers.iter().zip(&versions).filter(|(_, other)| **other == version);
-        let cached_tokens = same_weights.map(|(offer, _)| offer.cached_tokens).max();
+            candidates.iter().zip(&versions).filter(|(_, other)| **other == version);
+        let cached_tokens =
+            same_weights.map(|(candidate, _)| candidate.cached_tokens).max();
         Some(Placement {
             upstream: upstreams[index].clone(),
-            demand,
+            demand: request,
             weights: version,
             cached_tokens: cached_tokens.unwrap_or_default(),
         })
@@ -177,7 +179,7 @@
 
     /// Reserves capacity at the chosen upstream.
     fn take_seat(&self, context: &mut RequestContext, choice: Placement) -> Reservation {
-        let Placement { upstream, demand, weights, .. } = choice;
+        let Placement { upstream, demand: request, weights, .. } = choice;
         let model = context.call.model.clone().unwrap_or_default();
         context.weights = weights;
         context.weights_outdated_ms =
@@ -185,9 +187,9 @@
         if context.weights_outdated_ms.is_some() {
             self.metrics.placed_on_older_weights.inc();
         }
-        let missing = demand.shared_tokens + demand.own_tokens;
+        let missing = request.shared_tokens + request.own_tokens;
         let changed = self.upstreams.changed.clone();
-        Reservation::take(upstream, demand.memory_tokens(), missing, changed)
+        Reservation::take(upstream, request.memory_tokens(), missing, changed)
     }
 }
 
@@ -203,8 +205,10 @@
 }
 
 /// Keeps only the least loaded upstreams usable, so that a crash affects the fewest runs.
-fn keep_least_loaded(offers: &mut [PlacementCandidate]) {
-    let usable = offers.iter().filter(|offer| offer.usable);
-    let least = usable.map(|offer| offer.running).min().unwrap_or_default();
-    offers.iter_mut().for_each(|offer| offer.usable &= offer.running == least);
+fn keep_least_loaded(candidates: &mut [PlacementCandidate]) {
+    let usable = candidates.iter().filter(|candidate| candidate.usable);
+    let least = usable.map(|candidate| candidate.running).min().unwrap_or_default();
+    candidates
+        .iter_mut()
+        .for_each(|candidate| candidate.usable &= candidate.running == least);
 }
--- a/crates/bilberry-gateway/src/plain_response.rs
+++ b/crates/bilberry-gateway/src/plain_response.rs
@@ -43,8 +43,8 @@
         self.record_prompt_read(context, &mut response.reservation);
         let left = context.deadline.remaining(self.clock.now());
         let mut read = BytesMut::new();
-        let reading = buffer_body(&mut response, &mut read);
-        let is_complete = match timeout(left, reading).await {
+        let buffering = buffer_body(&mut response, &mut read);
+        let is_complete = match timeout(left, buffering).await {
             Ok(Ok(is_complete)) => is_complete,
             Ok(Err(error)) => {
                 self.record_interrupted_run(context, &response.reservation.upstream);
@@ -60,9 +60,9 @@
         }
         let body = ResponseBody::full(buffered);
         let head = response.http.headers();
-        let whole = self.caller_response(response.http.status(), head, body);
+        let complete = self.caller_response(response.http.status(), head, body);
         self.keep_connection(response);
-        Ok(PlainResponse::Complete(whole))
+        Ok(PlainResponse::Complete(complete))
     }
 
     /// Streams a large plain response, of which `buffered` has been read, to the caller.
--- a/crates/bilberry-gateway/src/pool_summary.rs
+++ b/crates/bilberry-gateway/src/pool_summary.rs
@@ -118,8 +118,8 @@
 
     /// Records the newest weights that any upstream of a service runs.
     ///
-    /// Weights that an upstream runs have been announced, even if the announcement has
-    /// not reached this entry.
+    /// Weights that an upstream runs have been announced, even if this entry has
+    /// not received the announcement.
     fn note_weights_seen(&self, pool: &Name, model: &Name, now: UnixMs) {
         let Some(version) = self.upstreams.newest_reported(pool, model, now) else {
             return;
--- a/crates/bilberry-gateway/src/readings.rs
+++ b/crates/bilberry-gateway/src/readings.rs
@@ -44,11 +44,11 @@
             store.map_or(0, |store| keys.stored_tokens(&store.contents, now));
         let known_tokens = choice.cached_tokens.max(stored_tokens);
         let (part, end) = keys.parts_after(known_tokens).next()?;
-        let readings = self.readings.lock().unwrap();
-        let read_ms = self.speed.prefill_ms(&context.pool.name, end - known_tokens);
-        let reading = readings.prefill_to_await(part, read_ms, now)?;
-        let reader = self.upstreams.get(&reading.upstream)?;
-        reader.is_alive(now).then(|| reading.expected_end.min(until))
+        let prefills = self.readings.lock().unwrap();
+        let prefill_ms = self.speed.prefill_ms(&context.pool.name, end - known_tokens);
+        let prefill = prefills.prefill_to_await(part, prefill_ms, now)?;
+        let upstream = self.upstreams.get(&prefill.upstream)?;
+        upstream.is_alive(now).then(|| prefill.expected_end.min(until))
     }
 
     /// Records the parts beyond `supplied_tokens` that a request prefills at its
@@ -119,13 +119,13 @@
         begun: &[PrefillNotice],
         now: UnixMs,
     ) {
-        let mut readings = self.readings.lock().unwrap();
-        for reading in begun {
-            let expected_end = now.plus_ms(reading.done_in_ms);
-            upstream.expect_reading(reading.part, expected_end, now);
-            let reading_there =
+        let mut prefills = self.readings.lock().unwrap();
+        for notice in begun {
+            let expected_end = now.plus_ms(notice.done_in_ms);
+            upstream.expect_reading(notice.part, expected_end, now);
+            let prefill =
                 PrefillInProgress { upstream: upstream.id.clone(), expected_end };
-            readings.begin(reading.part, reading_there, now);
+            prefills.begin(notice.part, prefill, now);
         }
     }
 
@@ -134,9 +134,9 @@
         if parts.is_empty() {
             return;
         }
-        let mut readings = self.readings.lock().unwrap();
-        parts.iter().for_each(|&part| readings.end(part));
-        drop(readings);
+        let mut prefills = self.readings.lock().unwrap();
+        parts.iter().for_each(|&part| prefills.end(part));
+        drop(prefills);
         self.upstreams.changed.notify_waiters();
     }
 }
--- a/crates/bilberry-gateway/src/refusal.rs
+++ b/crates/bilberry-gateway/src/refusal.rs
@@ -128,7 +128,7 @@
             }
         }
         if matches!(self, Self::NotReady | Self::KeysUnconfirmed) {
-            // On a new connection the caller may reach an entry with fresher state.
+            // A new connection may lead the caller to an entry with fresher state.
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
--- a/crates/bilberry-gateway/src/relay.rs
+++ b/crates/bilberry-gateway/src/relay.rs
@@ -104,7 +104,7 @@
             if ended == BodyEnd::Complete {
                 self.record_pace(&context);
                 // Without this final piece the caller's connection is closed, which
-                // tells the caller that its stream is incomplete.
+                // shows the caller that its stream is incomplete.
                 let _ = pieces.send(BodyChunk::End).await;
             }
         });
@@ -226,15 +226,16 @@
                     return RelayEnd::Interrupted { reason, first_run_end };
                 }
             };
-            let was_asked = run.is_some_and(RunTakeover::is_stop_requested);
+            let is_stop_requested = run.is_some_and(RunTakeover::is_stop_requested);
             let bytes = match frame {
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
                 end => {
-                    let relay_end = end_of_stream(end, splitter, is_framed || !was_asked);
+                    let relay_end =
+                        end_of_stream(end, splitter, is_framed || !is_stop_requested);
                     return wait_for_stop(relay_end, run, run_end).await;
                 }
             };
-            if !was_asked {
+            if !is_stop_requested {
                 run_end.set(Fuse::terminated());
             }
             if context.first_byte_ms.is_none() {
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Waits until the engine of an at-most-once run should be asked to stop it.
+    /// Waits until the engine of an at-most-once run should get a request to stop it.
     ///
     /// Never returns if no other engine can take the run over. An engine that its sidecar
     /// reports as alive is merely slow. One whose sidecar is silent too, or reports it as
@@ -302,8 +303,8 @@
     }
 }
 
-/// Reports whether the headers delimit the body, so that its end can be told from a
-/// closed connection.
+/// Reports whether the headers delimit the body, so that its end can be distinguished
+/// from a closed connection.
 fn is_framed(headers: &HeaderMap) -> bool {
     headers.contains_key(TRANSFER_ENCODING) || headers.contains_key(CONTENT_LENGTH)
 }
--- a/crates/bilberry-gateway/src/run_stop.rs
+++ b/crates/bilberry-gateway/src/run_stop.rs
@@ -3,8 +3,8 @@
 //! This applies to at-most-once streams that stop sending events or are cut off. The
 //! engine may have exited, be partitioned or hang, or its host may be suspended, and the
 //! entry can't tell which side closed a connection. Closing the connection does not end
-//! the run at an engine that does not check it. The entry therefore asks the engine to
-//! stop the run, until the engine confirms it or can't be reached at all.
+//! the run at an engine that does not check it. The entry therefore requests a stop
+//! from the engine, until the engine confirms it or is entirely unreachable.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -70,12 +70,12 @@
     pub(crate) can_be_stopped: bool,
     /// Whether the connection that carries its stream is open.
     pub(crate) stream_is_open: AtomicBool,
-    /// Whether the engine was asked to stop it, and may do so at any time from then on.
+    /// Whether a stop was requested; the engine may end the run at any time from then on.
     pub(crate) stop_requested: AtomicBool,
 }
 
 impl RunTakeover {
-    /// Reports whether its engine was asked to stop it.
+    /// Reports whether a stop was requested from its engine.
     pub(crate) fn is_stop_requested(&self) -> bool {
         self.stop_requested.load(Ordering::Relaxed)
     }
@@ -86,7 +86,7 @@
     }
 }
 
-/// The exponential backoff between the calls that ask an engine to stop a run.
+/// The exponential backoff between the calls that request a stop from an engine.
 ///
 /// Timeout and delay double after each failed call. The calls then neither fill the
 /// accept queue of a suspended engine nor load one that does not report the state of the
@@ -138,7 +138,7 @@
             return Some(FirstRunEnd::Ended(RunEndReason::Restarted));
         }
         let connected = connect(run.upstream.address).await;
-        let reach = match &connected {
+        let outcome = match &connected {
             Ok(_) => ConnectOutcome::Accepted,
             Err(ConnectError::Refused) => ConnectOutcome::Refused,
             Err(ConnectError::Unreachable(_)) => ConnectOutcome::TimedOut,
@@ -146,7 +146,7 @@
         };
         let sidecar = run.upstream.sidecar_status(self.clock.now());
         let stream_is_open = run.stream_is_open.load(Ordering::Relaxed);
-        match (attempts.record(reach, sidecar, stream_is_open), connected) {
+        match (attempts.record(outcome, sidecar, stream_is_open), connected) {
             (Some(end), _) => Some(FirstRunEnd::Ended(end)),
             (None, Ok(connection)) if run.can_be_stopped => {
                 let stopping = self.stop_run(run, connection);
@@ -156,7 +156,8 @@
         }
     }
 
-    /// Asks an engine to stop a run; `None` if it does not report the state of the run.
+    /// Requests the stop of a run from its engine; `None` if the engine does not report
+    /// the state of the run.
     async fn stop_run(
         &self,
         run: &RunTakeover,
--- a/crates/bilberry-gateway/src/serve.rs
+++ b/crates/bilberry-gateway/src/serve.rs
@@ -247,7 +247,7 @@
     rand::random_range(min.min(max)..=max)
 }
 
-/// Returns the range of retry delays if all upstreams have asked for pauses, the first of
+/// Returns the range of retry delays if all upstreams have requested pauses, the first of
 /// which ends in `pause_ms`.
 fn retry_range_after_pause_ms(pause_ms: u64) -> (u64, u64) {
     (pause_ms, pause_ms + (pause_ms / PAUSE_SPREAD_DIVISOR).max(RETRY_AFTER_RANGE_MS.0))
--- a/crates/bilberry-gateway/src/store_contents.rs
+++ b/crates/bilberry-gateway/src/store_contents.rs
@@ -11,7 +11,7 @@
 /// How long a part is assumed to stay in the store after it was written.
 ///
 /// The store evicts the least recently used parts without notification. After this time
-/// the part is offered again, which transfers nothing unless it has to be prefilled. With
+/// the part is sent again, which transfers nothing unless it has to be prefilled. With
 /// a much shorter time, more tokens are prefilled again.
 const ASSUMED_KEPT_MS: u64 = 16_000;
 
@@ -61,7 +61,7 @@
     /// Discards the writes of an upstream that has restarted.
     ///
     /// Parts that it had not sent yet are lost. If they still counted as kept, no
-    /// upstream would offer them again for many seconds, and every engine would prefill
+    /// upstream would send them again for many seconds, and every engine would prefill
     /// them itself.
     pub fn forget_writer(&self, writer: &str) {
         self.writes.lock().unwrap().retain(|_, write| write.writer != writer);
--- a/crates/bilberry-gateway/src/upstream.rs
+++ b/crates/bilberry-gateway/src/upstream.rs
@@ -80,8 +80,9 @@
 /// One incarnation of an upstream and its state.
 ///
 /// When the upstream restarts under the same id, another value replaces this one. The
-/// seats, failures, weights, cached parts and leaving state of the earlier incarnation
-/// then no longer count, and requests that still refer to it can detect the restart.
+/// reservations, failures, weights, cached parts and leaving state of the earlier
+/// incarnation then no longer count, and requests that still refer to it can detect the
+/// restart.
 #[derive(Debug)]
 pub struct Upstream {
     /// Its id.
@@ -508,7 +509,7 @@
         self.live.lock().unwrap().fresh_feed(now).is_some()
     }
 
-    /// Returns until when it has asked for no requests, if that time is in the future.
+    /// Returns the end of the pause that it has requested, if that is in the future.
     pub fn paused_until(&self, now: UnixMs) -> Option<UnixMs> {
         let until = self.live.lock().unwrap().paused_until;
         (!until.has_passed_at(now)).then_some(until)
--- a/crates/bilberry-gateway/src/upstream/live.rs
+++ b/crates/bilberry-gateway/src/upstream/live.rs
@@ -37,7 +37,7 @@
     pub(super) failures: u32,
     /// Until when it gets no requests after a failure or a refusal as busy.
     pub(super) backoff_until: UnixMs,
-    /// Until when it has asked for no requests; no later answer or state ends this pause.
+    /// The end of the pause that it has requested; no later answer or state shortens it.
     pub(super) paused_until: UnixMs,
     /// Whether its sidecar or the last send indicates that it is down.
     pub(super) seems_down: bool,
--- a/crates/bilberry-gateway/src/upstream/reservation.rs
+++ b/crates/bilberry-gateway/src/upstream/reservation.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns how many tokens of this entry's earlier requests its upstream still had to
-    /// prefill when the seat was taken.
+    /// prefill when the reservation was made.
     pub fn pending_tokens_ahead(&self) -> u64 {
         self.pending_tokens_ahead
     }
--- a/crates/bilberry-gateway/src/upstreams.rs
+++ b/crates/bilberry-gateway/src/upstreams.rs
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Applies a listing whose service is named.
+    /// Applies a listing whose service is configured.
     ///
     /// A listing of an earlier incarnation is ignored: it was read or written late.
     fn put_named(&self, listed: &Listing) -> Option<Arc<Upstream>> {
@@ -272,17 +272,17 @@
 }
 
 impl DeferredListings {
-    /// Defers a listing if its service is not named; returns whether it did.
+    /// Defers a listing if its service is not configured; returns whether it did.
     fn defer(&mut self, listed: &Listing) -> bool {
         self.by_id.remove(&listed.id);
-        let is_named = self.named_pools.contains(&listed.pool);
-        if !is_named {
+        let is_configured = self.named_pools.contains(&listed.pool);
+        if !is_configured {
             self.by_id.insert(listed.id.clone(), listed.clone());
         }
-        !is_named
+        !is_configured
     }
 
-    /// Sets the named services; removes and returns the listings that are no longer
+    /// Sets the configured services; removes and returns the listings that are no longer
     /// deferred.
     fn release_named(&mut self, pools: impl IntoIterator<Item = Name>) -> Vec<Listing> {
         self.named_pools = pools.into_iter().collect();
