--- a/crates/bilberry-steward/src/cache.rs
+++ b/crates/bilberry-steward/src/cache.rs
@@ -24,7 +24,7 @@
 /// An entry that falls further behind receives the full contents again.
 const CHANGE_BUFFER: usize = 64;
 
-/// The delay before a full listing after a failed or unusable answer.
+/// The delay before a full listing after a failed call or an unusable response.
 const RELIST_DELAY: Duration = Duration::from_millis(200);
 
 /// The delay between two requests, which lets events accumulate into batches.
@@ -136,15 +136,17 @@
         }
     }
 
-    /// Forwards an entry's notice of parts that its requests read.
+    /// Forwards an entry's notice of parts that its requests prefill.
     ///
     /// The parts are not added to the contents: the engine's own events report when they
     /// are added and removed.
     pub fn forward_reading(&self, notice: ReadingNotice) {
         let contents = self.contents.lock().unwrap();
-        let read_by =
+        let prefilled_by =
             notice.started_at_ms.map(|ms| Incarnation { started_at: UnixMs(ms) });
-        if Incarnation::compare(contents.incarnation, read_by) != IncarnationOrder::Same {
+        if Incarnation::compare(contents.incarnation, prefilled_by)
+            != IncarnationOrder::Same
+        {
             return;
         }
         let change = CacheChange {
@@ -208,11 +210,11 @@
         Some((epoch, events.next))
     }
 
-    /// Locks the contents if an answer describes their incarnation.
+    /// Locks the contents if a response describes their incarnation.
     ///
-    /// A request waits up to a second for events, so its answer may predate a restart that
-    /// has become known meanwhile. Applying it would make entries fetch parts from an
-    /// engine whose cache is empty.
+    /// A request waits up to a second for events, so its response may predate a restart
+    /// that has become known meanwhile. Applying it would make entries fetch parts from
+    /// an engine whose cache is empty.
     fn lock_for(
         &self,
         at_request: Option<Incarnation>,
--- a/crates/bilberry-steward/src/crash_relay.rs
+++ b/crates/bilberry-steward/src/crash_relay.rs
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Returns notices of all reports that have not expired, and a receiver for later notices.
+    /// Returns notices of all reports that have not expired, and a receiver for later
+    /// notices.
     pub fn subscribe(
         &self,
         now: UnixMs,
--- a/crates/bilberry-steward/src/engine.rs
+++ b/crates/bilberry-steward/src/engine.rs
@@ -54,7 +54,7 @@
     pub fencing_number: u64,
     /// The number of orders that the engine must have accepted so far.
     ///
-    /// An order whose response was lost may reach the engine seconds later, after a
+    /// An order whose response was lost may arrive at the engine seconds later, after a
     /// newer order was accepted. The engine then rejects it because of this count.
     pub expected_orders: u64,
     /// The incarnation of the engine that the order is meant for, if known.
--- a/crates/bilberry-steward/src/engine_controller.rs
+++ b/crates/bilberry-steward/src/engine_controller.rs
@@ -66,7 +66,7 @@
     pub metrics: SidecarMetrics,
 }
 
-/// The engine state that a steward publishes.
+/// The engine state that an engine controller publishes.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EngineState {
     /// The state that is sent to entries.
@@ -117,10 +117,10 @@
 }
 
 impl<E: Engine, C: Clock> EngineController<E, C> {
-    /// Creates a steward.
+    /// Creates an engine controller.
     ///
-    /// `holder` names this host in orders. `outdated_weights_max_ms` is the time after which no
-    /// request may start on older weights.
+    /// `holder` identifies this host in orders. `outdated_weights_max_ms` is the time
+    /// after which no request may start on older weights.
     pub fn new(
         engine: E,
         clock: C,
--- a/crates/bilberry-steward/src/feed.rs
+++ b/crates/bilberry-steward/src/feed.rs
@@ -234,8 +234,8 @@
     call: u64,
     request: WatchRequest,
 ) -> Frame {
-    let answer: WatchResponse = hub.answer(request).await;
-    Frame { call, body: Some(Body::WatchResponse(answer)), ..Frame::default() }
+    let response: WatchResponse = hub.answer(request).await;
+    Frame { call, body: Some(Body::WatchResponse(response)), ..Frame::default() }
 }
 
 /// The subscription of one entry to a cache.
--- a/crates/bilberry-steward/src/latest_weights.rs
+++ b/crates/bilberry-steward/src/latest_weights.rs
@@ -9,7 +9,7 @@
 use bilberry_core::UnixMs;
 use bilberry_wire::EntryNotice;
 
-/// The newest weights of a service's models, and the engine's place in rollouts.
+/// The newest weights of a service's models, and the engine's position in rollouts.
 #[derive(Debug, Default)]
 pub struct LatestWeights {
     known: Mutex<Known>,
@@ -28,9 +28,9 @@
         known.weights.entry(model.into()).or_default().record(version, now);
     }
 
-    /// Records the newest weights and the rollout place that an entry reports.
+    /// Records the newest weights and the rollout position that an entry reports.
     ///
-    /// A sidecar that is cut off from the platform learns of new weights from the
+    /// A sidecar that is partitioned from the platform receives new weights from the
     /// entries, which see them at other upstreams.
     pub fn record_notice(&self, notice: &EntryNotice, now: UnixMs) {
         for weights in notice.newest.iter().filter(|weights| weights.version > 0) {
@@ -51,7 +51,7 @@
         weights.newest().map(|(newest, _)| (newest, since))
     }
 
-    /// Returns the engine's place in rollouts of its service.
+    /// Returns the engine's position in rollouts of its service.
     ///
     /// Until an entry has reported one, the engine counts as the only one.
     pub fn rollout_place(&self) -> RolloutPlace {
--- a/crates/bilberry-steward/src/watch_hub.rs
+++ b/crates/bilberry-steward/src/watch_hub.rs
@@ -60,7 +60,7 @@
     HistoryLost,
 }
 
-/// The store did not give a usable answer.
+/// The store did not return a usable response.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("the store does not answer: {0}; entries query it directly in the meantime")]
 pub struct WatchSourceError(pub String);
@@ -92,7 +92,7 @@
     /// The last reported change.
     ///
     /// A change may arrive after an entry was answered and before it sends its next
-    /// request. An entry that cannot reach the store itself would miss it permanently.
+    /// request. An entry that is partitioned from the store would miss it permanently.
     last_change: Option<LastChange>,
     /// Whether the last call failed.
     failing: bool,
@@ -111,11 +111,11 @@
 
 impl SharedWatch {
     /// Answers a client that lags with the last change, if it has missed no other.
-    fn answer_with_last_change(&self, question: PendingWatch) -> WatchResponse {
+    fn answer_with_last_change(&self, pending: PendingWatch) -> WatchResponse {
         let missed_no_other =
-            |last: &&LastChange| !question.is_behind(last.unchanged_since);
+            |last: &&LastChange| !pending.is_behind(last.unchanged_since);
         let last = self.last_change.as_ref().filter(missed_no_other);
-        let reply = last.and_then(|last| question.reply_from(&last.update));
+        let reply = last.and_then(|last| pending.reply_from(&last.update));
         into_answer(reply.unwrap_or(WatchReply::OutOfSync))
     }
 }
@@ -143,14 +143,14 @@
     /// Answers a request once a call to the store has an outcome for it.
     pub async fn answer(self: Arc<Self>, request: WatchRequest) -> WatchResponse {
         let arrived_at = self.clock.now();
-        let question = PendingWatch { position: request.position(), arrived_at };
-        let mut outcomes = match self.subscribe(request, question) {
+        let pending = PendingWatch { position: request.position(), arrived_at };
+        let mut outcomes = match self.subscribe(request, pending) {
             Ok(outcomes) => outcomes,
             Err(answer) => return answer,
         };
         loop {
             let reply = match outcomes.recv().await {
-                Ok(Outcome::Update(update)) => question.reply_from(&update),
+                Ok(Outcome::Update(update)) => pending.reply_from(&update),
                 Ok(Outcome::Failed) => {
                     return answer_without_changes(WatchOutcome::StoreUnavailable);
                 }
@@ -164,18 +164,18 @@
 
     /// Subscribes to the watch of a kind and starts it if there is none.
     ///
-    /// Returns an answer instead if the request can be answered immediately.
+    /// Returns a response instead if the request can be answered immediately.
     fn subscribe(
         self: &Arc<Self>,
         request: WatchRequest,
-        question: PendingWatch,
+        pending: PendingWatch,
     ) -> Result<broadcast::Receiver<Outcome>, WatchResponse> {
         let mut watches = self.watches.lock().unwrap();
         let kind = Name::from(&request.kind);
         let is_full = watches.len() >= MAX_WATCHED_KINDS;
         match watches.get_mut(&kind) {
             Some(shared) => {
-                shared.requested_at = question.arrived_at;
+                shared.requested_at = pending.arrived_at;
                 shared.request = request;
                 match () {
                     // The last call failed, so the client should not wait for another
@@ -183,14 +183,14 @@
                     () if shared.failing => {
                         Err(answer_without_changes(WatchOutcome::StoreUnavailable))
                     }
-                    // The client does not support eras, so it could not learn the era
+                    // The client does not support eras, so it could not get the era
                     // from the store either. It would alternate between the store and
                     // this hub without a delay.
-                    () if question.lacks_era_of(shared.unchanged_since) => {
+                    () if pending.lacks_era_of(shared.unchanged_since) => {
                         Err(answer_without_changes(WatchOutcome::StoreUnavailable))
                     }
-                    () if question.is_behind(shared.unchanged_since) => {
-                        Err(shared.answer_with_last_change(question))
+                    () if pending.is_behind(shared.unchanged_since) => {
+                        Err(shared.answer_with_last_change(pending))
                     }
                     () => Ok(shared.outcomes.subscribe()),
                 }
@@ -200,13 +200,13 @@
             }
             None => {
                 let (outcomes, receiver) = broadcast::channel(OUTCOME_BUFFER);
-                let position = question.position;
+                let position = pending.position;
                 let shared = SharedWatch {
                     unchanged_since: position,
                     last_change: None,
                     failing: false,
                     request,
-                    requested_at: question.arrived_at,
+                    requested_at: pending.arrived_at,
                     outcomes,
                 };
                 watches.insert(kind.clone(), shared);
@@ -234,15 +234,12 @@
                         confirmed_at: known_at,
                     }
                 }
-                Ok(SourceResponse::Changed { position: to, changes }) => {
-                    let news = Some(changes);
-                    WatchResult {
-                        from: position,
-                        to,
-                        changes: news,
-                        confirmed_at: called_at,
-                    }
-                }
+                Ok(SourceResponse::Changed { position: to, changes }) => WatchResult {
+                    from: position,
+                    to,
+                    changes: Some(changes),
+                    confirmed_at: called_at,
+                },
                 Ok(SourceResponse::HistoryLost) => break,
                 Err(error) => {
                     self.log_failure(&kind, &error);
@@ -258,7 +255,7 @@
             position = if is_change { update.to } else { position.max(update.to) };
             self.broadcast(&kind, Outcome::Update(update));
             if is_change {
-                // Lets changes in quick succession accumulate into one answer.
+                // Lets changes in quick succession accumulate into one response.
                 let next_at = called_at.plus_ms(params.spacing_ms);
                 sleep(next_at.remaining(self.clock.now())).await;
             }
