--- a/crates/bilberry-wire/src/dispatch.rs
+++ b/crates/bilberry-wire/src/dispatch.rs
@@ -145,7 +145,7 @@
     /// A human-readable reason and remedy.
     #[prost(string, tag = "2")]
     pub message: String,
-    /// Whether the request may have reached the upstream.
+    /// Whether the request may have been sent to the upstream.
     #[prost(bool, tag = "3")]
     pub may_have_run: bool,
     /// The delay after which to retry, in milliseconds.
--- a/crates/bilberry-wire/src/feed.rs
+++ b/crates/bilberry-wire/src/feed.rs
@@ -79,30 +79,30 @@
     pub prompt_stores: Vec<String>,
 }
 
-/// Shared prompt parts that an entry's requests read at an upstream.
+/// Shared prompt parts that an entry's requests prefill at an upstream.
 ///
 /// The sidecar forwards the notice to the other entries immediately, as the engine's
 /// cache events report the same parts only some hundred milliseconds later.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ReadingNotice {
-    /// Parts that the upstream starts to read.
+    /// Parts that the upstream starts to prefill.
     #[prost(message, repeated, tag = "1")]
     pub begun: Vec<PrefillNotice>,
-    /// Parts that have been read, as hashes of salt and part.
+    /// Parts that have been prefilled, as hashes of salt and part.
     #[prost(fixed64, repeated, tag = "2")]
     pub read: Vec<u64>,
-    /// When the upstream reading them started, in Unix milliseconds, if known.
+    /// When the upstream that prefills them started, in Unix milliseconds, if known.
     #[prost(fixed64, optional, tag = "3")]
     pub started_at_ms: Option<u64>,
 }
 
-/// A prompt part that is being read.
+/// A prompt part that is being prefilled.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct PrefillNotice {
     /// The part, as a hash of salt and part.
     #[prost(fixed64, tag = "1")]
     pub part: u64,
-    /// The expected time until the read completes, in milliseconds.
+    /// The expected time until the prefill completes, in milliseconds.
     ///
     /// Relative, because the receiving host's clock may differ.
     #[prost(uint64, tag = "2")]
@@ -135,7 +135,7 @@
     /// When the holder of the parts started, in Unix milliseconds, if known.
     #[prost(fixed64, optional, tag = "4")]
     pub started_at_ms: Option<u64>,
-    /// Parts that the upstream has started to read.
+    /// Parts that the upstream has started to prefill.
     #[prost(message, repeated, tag = "5")]
     pub reading: Vec<PrefillNotice>,
 }
--- a/crates/bilberry-wire/src/frame.rs
+++ b/crates/bilberry-wire/src/frame.rs
@@ -58,7 +58,7 @@
     /// Answers a ping.
     #[prost(bool, tag = "6")]
     Pong(bool),
-    /// Asks how much of a prompt an upstream has cached.
+    /// Queries how much of a prompt an upstream has cached.
     #[prost(message, tag = "7")]
     Probe(Probe),
     /// Answers a probe.
@@ -103,7 +103,7 @@
     /// Returns the state of a process.
     #[prost(message, tag = "21")]
     StatusResponse(StatusResponse),
-    /// Asks a sidecar to stop accepting new work.
+    /// Requests that a sidecar stop accepting new work.
     #[prost(message, tag = "22")]
     DrainRequest(DrainRequest),
     /// Answers a drain with the number of requests still in progress.
@@ -129,7 +129,7 @@
     /// Tag 29 must not be reused: it carried changes without the store's address.
     #[prost(message, tag = "30")]
     StoreChange(StoreChange),
-    /// Notifies a sidecar, for all entries, of shared parts that are read there.
+    /// Notifies a sidecar, for all entries, of shared parts that are prefilled there.
     #[prost(message, tag = "31")]
     ReadingNotice(ReadingNotice),
     /// Requests changes of the platform's store from a sidecar.
@@ -150,7 +150,7 @@
     /// The name of the process.
     #[prost(string, tag = "1")]
     pub process: String,
-    /// The address at which peers reach the process.
+    /// The address at which peers connect to the process.
     #[prost(string, tag = "2")]
     pub address: String,
 }
--- a/crates/bilberry-wire/src/probe.rs
+++ b/crates/bilberry-wire/src/probe.rs
@@ -14,7 +14,7 @@
     Down = 2,
 }
 
-/// Asks how much of a prompt an upstream has cached.
+/// Queries how much of a prompt an upstream has cached.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Probe {
     /// The customer, whose own queue determines the wait.
--- a/crates/bilberry-wire/src/shared_watch.rs
+++ b/crates/bilberry-wire/src/shared_watch.rs
@@ -5,7 +5,7 @@
 
 /// Requests the changes of one kind of object after a revision.
 ///
-/// The answer carries the call number of the request's frame.
+/// The response carries the call number of the request's frame.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct WatchRequest {
     /// The kind of object.
@@ -39,7 +39,7 @@
 )]
 #[repr(i32)]
 pub enum WatchOutcome {
-    /// The sidecar cannot get an answer from the store.
+    /// The sidecar cannot get a response from the store.
     StoreUnavailable = 0,
     /// The requester has to query the store directly once to catch up.
     OutOfSync = 1,
@@ -58,7 +58,7 @@
     /// The revision to continue from.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// The time at which the store had no changes beyond this answer, in milliseconds
+    /// The time at which the store had no changes beyond this response, in milliseconds
     /// after the arrival of the request; negative if before it.
     ///
     /// Relative, because the receiving host's clock may differ.
--- a/crates/bilberry-wire/src/state.rs
+++ b/crates/bilberry-wire/src/state.rs
@@ -76,7 +76,7 @@
     /// The upstream that it runs next to; empty for an entry.
     #[prost(string, tag = "4")]
     pub upstream: String,
-    /// The address at which peers reach it.
+    /// The address at which peers connect to it.
     #[prost(string, tag = "5")]
     pub address: String,
     /// A random number chosen at its start.
@@ -158,7 +158,7 @@
     pub platform_ok: bool,
 }
 
-/// Asks a sidecar to stop accepting new work.
+/// Requests that a sidecar stop accepting new work.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct DrainRequest {
     /// The upstream to drain.
